--- a/badgeryoke/decisions/counter_health/monitored_policy.py
+++ b/badgeryoke/decisions/counter_health/monitored_policy.py
@@ -73,9 +73,9 @@
         self.engine.update_settings(settings)
         self._plans = {plan.name: plan for plan in settings.plans}
 
-    def avoided(self, now: float) -> int:
+    def unavailable_server_count(self, now: float) -> int:
         """How many of the listed servers get no traffic now."""
-        return self.engine.avoided(now)
+        return self.engine.unavailable_server_count(now)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Decide on one event."""
--- a/badgeryoke/decisions/policy/engine.py
+++ b/badgeryoke/decisions/policy/engine.py
@@ -86,9 +86,9 @@
         self._balancer.update_settings(settings)
         self._max_retry_budget = 1 + MAX_SAVED_RETRIES / settings.gateway_count
 
-    def avoided(self, now: float) -> int:
+    def unavailable_server_count(self, now: float) -> int:
         """Number of listed servers that are draining or outliers; outliers get trial attempts only."""
-        return self._balancer.avoided(now)
+        return self._balancer.unavailable_server_count(now)
 
     def _remove_request(self, request_id: str) -> None:
         """Remove a request that has its final answer or whose client disconnected."""
--- a/badgeryoke/decisions/policy/load_balancing.py
+++ b/badgeryoke/decisions/policy/load_balancing.py
@@ -131,7 +131,7 @@
         self._available = [server for server in remaining if server.endpoint.state is api.EndpointState.UP]
         self._available.sort(key=lambda server: server.aperture_rank)
 
-    def avoided(self, now: float) -> int:
+    def unavailable_server_count(self, now: float) -> int:
         """Number of listed servers that are draining or outliers."""
         gone, draining, limit = api.EndpointState.GONE, api.EndpointState.DRAINING, OUTLIER_FAILURE_RATE
         listed = [server for server in self._servers.values() if server.endpoint.state is not gone]
--- a/badgeryoke/decisions/priority_admission.py
+++ b/badgeryoke/decisions/priority_admission.py
@@ -166,7 +166,7 @@
     def _reject(self, now: float, job: engine.PendingRequest, wait: float) -> list[Action]:
         if not job.request.reservation_rank:
             return super()._reject(now, job, wait)
-        self._forget(job.request.id)
+        self._remove_request(job.request.id)
         return [Reject(job.request.id, max(wait, 1.0), CEILING)]
 
     def _give_up(self, now: float, job: engine.PendingRequest) -> list[Action]:
--- a/badgeryoke/gateway/decision_module.py
+++ b/badgeryoke/gateway/decision_module.py
@@ -28,7 +28,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Decide on one event at `now` (Unix ms); gives the actions to execute, in their order."""
 
-    def avoided(self, now: float) -> int:
+    def unavailable_server_count(self, now: float) -> int:
         """How many of the listed servers get no requests now."""
 
     def update_settings(self, settings: api.Settings) -> None:
--- a/badgeryoke/gateway/dispatcher.py
+++ b/badgeryoke/gateway/dispatcher.py
@@ -125,9 +125,9 @@
         return sum(1 for pending in self._pending.values() if pending.respond is not None)
 
     @property
-    def avoided(self) -> int:
+    def unavailable_server_count(self) -> int:
         """How many of the listed servers get no requests now."""
-        return self._module.avoided(self._clock())
+        return self._module.unavailable_server_count(self._clock())
 
     def update_endpoints(self, endpoints: api.EndpointList) -> None:
         """Pass a new endpoint list to the decision module."""
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -446,5 +446,7 @@
         customer_quota = quota.quota_for(START, request(f"r{n}", customer=n))
         customer_quota.unreported_units = 1.0
         [call] = only(quota.synchronize(START, customer_quota), api.AddToCounter)
-        quota.replied(START, api.CounterReply(call.name, api.Verdict.OK, 15.0 if n < 5 else takes_ms, 1.0))
+        quota.handle_reply(
+            START, api.CounterReply(call.name, api.Verdict.OK, 15.0 if n < 5 else takes_ms, 1.0)
+        )
     assert (quota._call_probability > 1.0) is grows and (quota._call_probability < 0.1) is not grows
--- a/tests/support/event_streams.py
+++ b/tests/support/event_streams.py
@@ -355,7 +355,9 @@
         )
         if self._events % 50 == 0:
             for module in self._doors:
-                self.digest.add((self._now, module, self._modules[module].avoided(self._now)))
+                self.digest.add(
+                    (self._now, module, self._modules[module].unavailable_server_count(self._now))
+                )
         if self._events % 37 == 0:
             self._strange_event(self._doors[door])
 
