--- a/badgeryoke/decisions/__init__.py
+++ b/badgeryoke/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""The decisions of a gateway that keeps each customer of a shared back end to its plan."""
+"""The decision engine of a gateway that enforces each customer's plan at a shared upstream service."""
 
 from badgeryoke.decisions.policy.engine import DecisionEngine
 
--- a/badgeryoke/decisions/interface.py
+++ b/badgeryoke/decisions/interface.py
@@ -1,7 +1,7 @@
 """The types of the decision engine: its settings, the events it handles and the actions it returns.
 
-All are plain data, so that a host can embed the engine whatever its wire protocol is.  Times are
-milliseconds on the host's clock; ids are opaque to the engine and are returned unchanged.
+All are plain data, so that a host with any wire protocol can embed the engine.  Times are milliseconds
+on the host's clock; ids are opaque to the engine and are returned unchanged.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which servers recognize the second attempt of a request with an idempotency key."""
+    """Which servers recognize a repeated attempt by its idempotency key: all, the same zone's or cell's."""
 
     ALL = "all"
     ZONE = "zone"
@@ -55,7 +55,7 @@
 
 
 class ListScope(Enum):
-    """What an endpoint list covers."""
+    """What an endpoint list covers; LOST: the subscription to its watch events has ended."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -63,11 +63,11 @@
     LOST = "lost"
 
 
-def _require_at_least(least: float, path: str = "", **values: float) -> None:
+def _require_at_least(minimum: float, path: str = "", **values: float) -> None:
     """Raise a ValueError that names the first setting that is too small or not a number."""
     for key, value in values.items():
-        if not value >= least:
-            raise ValueError(f"setting {path}{key}: expected at least {least:g}, got {value!r}")
+        if not value >= minimum:
+            raise ValueError(f"setting {path}{key}: expected at least {minimum:g}, got {value!r}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,15 +97,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota and ceiling, for each customer over all gateways together."""
+    """A plan's quota and ceiling; both apply to each customer, over all gateways together."""
 
     name: str
     rate: float = 0.0  # units per second; 0: no quota
     burst: float = 0.0  # units
     concurrency_limit: int = 0  # requests in flight; 0: no limit
     price: float = 1.0  # value of a unit within the quota
-    over_quota_value: float = 0.0  # of a unit beyond the quota, in parts of the price
-    over_quota_cost: float = 0.0  # likewise
+    over_quota_value: float = 0.0  # value of a unit over quota, in parts of the price
+    over_quota_cost: float = 0.0  # cost of a unit over quota, in parts of the price
     ceiling_rate: float = 0.0  # units per second that are never exceeded; 0: no ceiling
     ceiling_burst: float = 0.0  # units
     ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded
@@ -132,7 +132,7 @@
 class Settings:
     """The settings of one gateway."""
 
-    gateway_index: int  # from 0
+    gateway_index: int  # counted from 0
     gateway_count: int
     zone: str
     tick_ms: float  # the resolution of the host's timers
@@ -141,16 +141,16 @@
     has_counter: bool = False
     counter_timeout_ms: float = 0.0
     max_request_units: float = 1.0
-    max_attempts: int = 1  # of one request
-    can_cancel: bool = False  # an attempt in flight
+    max_attempts: int = 1  # per request, including the first
+    can_cancel: bool = False  # whether attempts in flight can be cancelled
     max_retry_after_ms: float = 0.0
-    must_subscribe: bool = False  # to changes of the endpoint list
-    poll_within_ms: float = 0.0  # the longest time between two polls of discovery, where it is polled
-    response_slack_ms: float = 0.0  # of a deadline, kept for the way to a server
-    slow_start_fraction: float = 1.0  # of its capacity that a server has at its start
-    slow_start_ms: float = 0.0  # until it has all of it
-    overload_multiple: float = 1.0  # a server that gets this many times its warm load ...
-    overload_window_ms: float = 0.0  # ... within this window is overloaded
+    must_subscribe: bool = False  # whether changes of the endpoint list need a subscription
+    poll_within_ms: float = 0.0  # longest time between two polls of discovery, if it is polled
+    response_slack_ms: float = 0.0  # part of a deadline that is reserved for the way to a server
+    slow_start_fraction: float = 1.0  # fraction of its capacity that a server has when it starts
+    slow_start_ms: float = 0.0  # time until a started server has its full capacity
+    overload_multiple: float = 1.0  # a server is overloaded by this many times its warm load ...
+    overload_window_ms: float = 0.0  # ... if it gets that load within a window of this length
 
     def __post_init__(self) -> None:
         _require_at_least(1, gateway_count=self.gateway_count)
@@ -181,7 +181,7 @@
     cell: int
     state: EndpointState
     size: float = 1.0  # relative capacity
-    started_ms: float = 0.0  # 0: long ago
+    started_ms: float = 0.0  # start time; 0: long ago
 
 
 # Events -----------------------------------------------------------------------------------------------
@@ -204,16 +204,16 @@
     plan: str
     customer: int
     remaining_ms: float  # until the client's deadline
-    units: float  # estimated
-    gateway_set_size: int  # how many gateways serve the customer, ...
-    first_gateway: int = 0  # ... from this index on
-    retry: bool = False  # by the client
+    units: float  # estimated cost
+    gateway_set_size: int  # number of gateways that serve the customer
+    first_gateway: int = 0  # index of the first of them
+    retry: bool = False  # whether the client has sent the request before
     reservation_rank: int = 0  # priority under a capacity reservation, 1 is shed last; 0: not reserved
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """A streamed response has begun; its rest goes straight to the client."""
+    """A streamed response has begun; the host forwards the rest of it without further events."""
 
     id: str
 
@@ -227,8 +227,8 @@
     server: int
     verdict: Verdict
     rtt_ms: float
-    ended: bool  # the request has its final answer
-    true_units: float = 0.0  # measured; 0: unknown
+    ended: bool  # whether the request has its final answer
+    true_units: float = 0.0  # measured cost; 0: unknown
     report: tuple[float, ...] = ()  # the server's load report
 
 
@@ -282,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
-    """Start an attempt of a request at a server; attempts are numbered from 0 as sent."""
+    """Start an attempt of a request at a server; the attempts of a request are numbered from 0."""
 
     id: str
     server: int
@@ -303,7 +303,7 @@
 
     id: str
     retry_after_ms: float = 0.0
-    cause: str = ""  # of the rejection of a reserved request
+    cause: str = ""  # why a reserved request was rejected; empty for other requests
 
 
 @dataclass(frozen=True, slots=True)
@@ -339,7 +339,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Subscribe to watch events of the endpoint list."""
+    """Subscribe to the watch events of the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -349,8 +349,8 @@
     text: str
 
 
-ServerFilter = Callable[[Server], bool] | None  # which servers may be used; None: all
-RetryFilter = ServerFilter | Literal[False]  # False: none
-ServerChoice = tuple[Server, float]  # and its expected latency, ms
+ServerFilter = Callable[[Server], bool] | None  # whether a server may be used; None: every server may
+RetryFilter = ServerFilter | Literal[False]  # False: no server may be used
+ServerChoice = tuple[Server, float]  # a server and its expected latency in ms
 Action = SendAttempt | CancelAttempt | Reject | Fail | AddToCounter | CheckHealth | SetTimer | Subscribe | Log
 Actions = list[Action]
--- a/badgeryoke/decisions/moving_average.py
+++ b/badgeryoke/decisions/moving_average.py
@@ -1,4 +1,4 @@
-"""Averages that forget: pure arithmetic for the policy, which chooses their gains and time constants."""
+"""Averages and counts that decay with time; the policy chooses their gains and time constants."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
     def __init__(self, gain: float, tau_ms: float) -> None:
         self.gain, self.tau_ms = gain, tau_ms
-        self.value, self.updated_at = 0.0, -math.inf  # as of the last sample
+        self.value, self.updated_at = 0.0, -math.inf  # value at the last sample, and the time of that sample
 
     def at(self, now: float) -> float:
-        """The average as far as it is not forgotten."""
+        """Return the average, decayed since the last sample."""
         return self.value * math.exp((self.updated_at - now) / self.tau_ms)
 
     def add(self, now: float, sample: float) -> None:
-        """Add a sample."""
+        """Add a sample, weighted by the gain."""
         self.value = (1 - self.gain) * self.at(now) + self.gain * sample
         self.updated_at = now
 
@@ -31,11 +31,11 @@
 
     def __init__(self, tau_ms: float) -> None:
         self.tau_ms = tau_ms
-        self.value, self.updated_at = 0.0, 0.0  # as of the last event
-        self.first_at = math.inf  # the first event
+        self.value, self.updated_at = 0.0, 0.0  # value at the last event, and the time of that event
+        self.first_at = math.inf  # time of the first event
 
     def at(self, now: float) -> float:
-        """The count as far as it is not forgotten."""
+        """Return the count, decayed since the last event."""
         return self.value * math.exp(-(now - self.updated_at) / self.tau_ms)
 
     def add(self, now: float) -> None:
--- a/badgeryoke/decisions/quota_protocols.py
+++ b/badgeryoke/decisions/quota_protocols.py
@@ -1,7 +1,7 @@
-"""What a customer's quota looks like to modules that the policy calls.
+"""Protocols for a customer's quota, used by modules that the policy calls.
 
-Types alone, and no decision: `GcraBucket` and `CustomerQuota` of `policy.quota` have this form, so that
-`plan_schedule.plan_change` and `counter_health.visibility`, which the policy calls, import nothing of it.
+`GcraBucket` and `CustomerQuota` of `policy.quota` implement them, so that `plan_schedule.plan_change` and
+`counter_health.visibility`, which the policy calls, do not import the policy.
 """
 
 from __future__ import annotations
@@ -12,7 +12,10 @@
 
 
 class GcraBucket(Protocol):
-    """A generic cell rate algorithm with a theoretical arrival time, ms; see `policy.quota.GcraBucket`."""
+    """A generic cell rate algorithm with its theoretical arrival time (TAT); see `policy.quota.GcraBucket`.
+
+    Times are in ms.
+    """
 
     tat: float
     interval_ms: float
@@ -23,14 +26,14 @@
         """Set the rate, in units per second, and the burst, in units."""
 
     def capacity(self, now: float) -> float:
-        """Units left of the burst."""
+        """Return the units left of the burst."""
 
 
 BucketT = TypeVar("BucketT", bound=GcraBucket)
 
 
 class CustomerQuota(Protocol[BucketT]):
-    """What a gateway knows of one customer's usage; see `policy.quota.CustomerQuota`."""
+    """One customer's quota and usage, as seen by a gateway; see `policy.quota.CustomerQuota`."""
 
     plan: Plan
     customer: int
@@ -52,27 +55,29 @@
     synchronized_at: float
 
     def headroom_share(self, settings: Settings) -> tuple[float, float]:
-        """Rate and burst of this gateway's share of the ceiling's headroom."""
+        """Return rate and burst of this gateway's share of the ceiling's headroom."""
 
     def compute_period_ms(self) -> float:
-        """The length of a period."""
+        """Return the length of a counter period in ms."""
 
 
 class CounterVisibility(Protocol):
-    """Which gateways the counter shows to this one, and what may be granted then; see
-    `counter_health.visibility.Visibility`, which is loaded only where counter health is switched on."""
+    """Which other gateways are visible to this one through the counter, and what it may grant then.
+
+    See `counter_health.visibility.Visibility`, which is loaded only if counter health is enabled.
+    """
 
     version: int
     epoch: int
 
     def apply(self, now: float, quota: CustomerQuota[Any]) -> None:
-        """Bring a customer's buckets in line with what is visible now."""
+        """Configure a customer's buckets for the gateways that are visible now."""
 
     def is_isolated(self, quota: CustomerQuota[Any]) -> bool:
-        """Whether this gateway sees none of the customer's others."""
+        """Whether none of the customer's other gateways is visible to this one."""
 
     def suppresses_calls(self, now: float, quota: CustomerQuota[Any]) -> bool:
-        """Whether calls for the customer are suppressed."""
+        """Whether counter calls for the customer are suppressed."""
 
     def others_units(self, quota: CustomerQuota[Any], others: float) -> float:
-        """The units that count as others' use, of those that a total shows."""
+        """Return how many of the units that a total attributes to other gateways are charged."""
--- a/badgeryoke/decisions/settings_parser.py
+++ b/badgeryoke/decisions/settings_parser.py
@@ -1,8 +1,8 @@
-"""Parses the platform's settings, nested JSON that is the same on every wire, into the engine's `Settings`.
+"""Parses the platform's settings, nested JSON that is the same for every wire protocol, into `Settings`.
 
 Every setting that the engine uses must be present, of the right type and in its range; an error names its
-full key.  A number may be absent only where that means that the feature does not exist: a ceiling, or value
-after the objective.  An unknown key is no error, but is reported.
+full key.  A number may be absent only if its absence disables a feature: a ceiling, or a value of late
+responses.  An unknown key is not an error, but is reported.
 """
 
 from __future__ import annotations
@@ -19,18 +19,19 @@
     "deduplicated": api.Idempotency.WITH_KEY,
     "at_most_once": api.Idempotency.NOT_IDEMPOTENT,
 }
-DEDUPLICATION_SCOPES = {group.value: group for group in api.DeduplicationScope}
+DEDUPLICATION_SCOPES = {scope.value: scope for scope in api.DeduplicationScope}
 MUST_SUBSCRIBE = {"automatic": False, "subscribe": True}
-FLAGS = {True: True, False: False}  # 1 and 0 as well
-# Larger numbers are mistakes: sums would lose digits, and no request could name such a class or plan.
+FLAGS = {True: True, False: False}  # 1 and 0 are accepted as well, as they are equal to True and False
+# Larger numbers and longer names are mistakes: sums would lose digits, and no request could carry such a
+# class or plan name.
 MAX_NUMBER = 1e12
 MAX_DURATION_MS = 1e7
 MAX_UNITS = 1e6
 MAX_GATEWAYS = 1e6
 MAX_ATTEMPTS = 1e3
 MAX_NAME_CHARACTERS = 256
-MAX_SHOWN_CHARACTERS = 64  # of a wrong value, in the error about it
-# By section, every key that the platform documents, also those that the engine does not use.
+MAX_SHOWN_CHARACTERS = 64  # of an invalid value in an error message
+# Every key that the platform documents, by section, including those that the engine does not use.
 KNOWN_KEYS = {
     "": "charges classes clients contracts discovery family_info feedback goal instances kind_of_service kinds me "
     "policy_limits rules tick_ms tier tiers weight_kind zone zones",
@@ -48,19 +49,19 @@
 
 
 def unknown_keys(settings: Mapping[str, object]) -> list[str]:
-    """The keys that are not documented: mistyped, or of a newer platform."""
-    found: dict[str, None] = {}
+    """Return the keys that are not documented: mistyped ones, or ones of a newer platform."""
+    unknown: dict[str, None] = {}
     for section, known in KNOWN_KEYS.items():
         value, path = (settings.get(section), f"{section}.") if section else (settings, "")
         for entry in value if isinstance(value, list) else [value]:
             for key in entry if isinstance(entry, dict) else ():
                 if key not in known.split():
-                    found[path + key] = None
-    return list(found)
+                    unknown[path + key] = None
+    return list(unknown)
 
 
 class SettingsReader:
-    """One object of the settings.  Its methods raise a ValueError that names the key."""
+    """Reads one object of the settings; its methods raise a ValueError that names the key."""
 
     def __init__(self, values: object, path: str = "") -> None:
         if not isinstance(values, dict):
@@ -73,57 +74,57 @@
         return key in self._values
 
     def raw_value(self, key: str) -> object:
-        """A value of any type."""
+        """Return a value of any type."""
         if key not in self._values:
             raise ValueError(f"setting {self._full_key(key)}: missing")
         return self._values[key]
 
     def number(
-        self, key: str, least: float = 0.0, most: float = MAX_NUMBER, default: float | None = None
+        self, key: str, minimum: float = 0.0, maximum: float = MAX_NUMBER, default: float | None = None
     ) -> float:
-        """A number in its range: no boolean, text or null.  The default stands for an absent key."""
+        """Return a number in its range, not a boolean; the default, if given, replaces an absent key."""
         value = self.raw_value(key) if default is None else self._values.get(key, default)
-        if isinstance(value, bool) or not isinstance(value, int | float) or not least <= value <= most:
-            raise self._error(key, f"a number from {least:g} to {most:g}", value)
+        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
+            raise self._error(key, f"a number from {minimum:g} to {maximum:g}", value)
         return float(value)
 
-    def positive_number(self, key: str, most: float = MAX_NUMBER) -> float:
-        """A number above 0."""
-        if not (value := self.number(key, 0.0, most)) > 0:
+    def positive_number(self, key: str, maximum: float = MAX_NUMBER) -> float:
+        """Return a number above 0."""
+        if not (value := self.number(key, 0.0, maximum)) > 0:
             raise self._error(key, "a number above 0", value)
         return value
 
-    def integer(self, key: str, least: float, most: float) -> int:
-        """An integer in its range, which may be written with a fraction of 0."""
-        if (value := self.number(key, least, most)) != int(value):
+    def integer(self, key: str, minimum: float, maximum: float) -> int:
+        """Return an integer in its range, which may be written with a fraction of 0."""
+        if (value := self.number(key, minimum, maximum)) != int(value):
             raise self._error(key, "a whole number", value)
         return int(value)
 
     def choice(self, key: str, choices: Mapping[K, T]) -> T:
-        """One of a few values, as what it stands for."""
+        """Return what the value is mapped to in `choices`."""
         value = self.raw_value(key)
         if not isinstance(value, list | dict):
-            for choice, meaning in choices.items():
+            for choice, result in choices.items():
                 if choice == value:
-                    return meaning
+                    return result
         raise self._error(key, f"one of {', '.join(map(str, choices))}", value)
 
     def text(self, key: str) -> str:
-        """A text of limited length."""
+        """Return a string of limited length."""
         value = self.raw_value(key)
         if not isinstance(value, str) or len(value) > MAX_NAME_CHARACTERS:
             raise self._error(key, f"a text of {MAX_NAME_CHARACTERS} characters at most", value)
         return value
 
     def section(self, key: str) -> SettingsReader:
-        """A nested object."""
+        """Return the reader of a nested object."""
         return SettingsReader(self.raw_value(key), self._full_key(key))
 
-    def named_entries(self, key: str, least: int = 1) -> list[SettingsReader]:
-        """A list of objects with unique names."""
+    def named_entries(self, key: str, minimum: int = 1) -> list[SettingsReader]:
+        """Return the readers of a list of objects with unique names."""
         value = self.raw_value(key)
-        if not isinstance(value, list) or len(value) < least:
-            raise self._error(key, f"a list with {least} entries at least", value)
+        if not isinstance(value, list) or len(value) < minimum:
+            raise self._error(key, f"a list with {minimum} entries at least", value)
         entries = [
             SettingsReader(entry, f"{self._full_key(key)}[{index}]") for index, entry in enumerate(value)
         ]
@@ -181,7 +182,7 @@
 
 
 def parse_settings(settings: Mapping[str, object]) -> api.Settings:
-    """The engine's settings; raises a ValueError that names the key."""
+    """Parse the engine's settings; raises a ValueError that names the key."""
     top = SettingsReader(settings)
     limits, rules, family = top.section("policy_limits"), top.section("rules"), top.section("family_info")
     gateways = top.integer("instances", 1, MAX_GATEWAYS)
@@ -190,12 +191,12 @@
     return api.Settings(
         gateway_index=top.integer("me", 0, gateways - 1),
         gateway_count=gateways,
-        zone=top.text("zone") if top.has("zone") or settings.get("zones") else "",  # a site may have none
+        zone=top.text("zone") if top.has("zone") or settings.get("zones") else "",  # a site may have no zones
         tick_ms=top.positive_number("tick_ms", MAX_DURATION_MS),
         classes=tuple(map(_read_class, top.named_entries("classes"))),
         plans=tuple(
-            map(_read_plan, top.named_entries("contracts", least=0))
-        ),  # none: a gateway that only keeps a share in a fleet
+            map(_read_plan, top.named_entries("contracts", minimum=0))
+        ),  # a gateway that enforces no plan has none
         has_counter=has_counter,
         counter_timeout_ms=family.positive_number("counter_timeout_ms", MAX_DURATION_MS)
         if has_counter
--- a/badgeryoke/decisions/simulator_adapter.py
+++ b/badgeryoke/decisions/simulator_adapter.py
@@ -1,7 +1,7 @@
 """Serves the simulator's text protocol: reads batches of events from stdin, writes one reply to each.
 
-It only translates.  A process hosts many gateways ("doors"), each a decision engine of its own.  A malformed
-line ends the process with one message on stderr; an exception in an engine is reported with DIE.
+It only translates.  One process hosts many gateways ("doors" on the wire), each with its own decision engine.
+A malformed line ends the process with one message on stderr; an exception in an engine is reported with DIE.
 """
 
 from __future__ import annotations
@@ -33,22 +33,22 @@
     "warm_copy": api.ListScope.CACHED,
     "lost": api.ListScope.LOST,
 }
-REST_OF_LINE_FIELDS = ("params", "text")  # their values may hold blanks: they come last
+REST_OF_LINE_FIELDS = ("params", "text")  # their values may contain spaces and extend to the end of the line
 T = TypeVar("T")
 
 
 class WireError(Exception):
-    """A malformed line: names the field and what was expected."""
+    """A malformed line; the message names the field and what was expected."""
 
 
 class WireFields:
-    """The name=value pairs of one line; the methods check their types."""
+    """The name=value pairs of one line; the methods raise a WireError for a value of the wrong type."""
 
     def __init__(self, pairs: dict[str, str]) -> None:
         self._pairs = pairs
 
     def text(self, name: str, default: str | None = None) -> str:
-        """The field as written."""
+        """Return the field's value as a string."""
         value = self._pairs.get(name, default)
         if value is None:
             raise WireError(f"field {name}: missing, expected a value")
@@ -62,32 +62,32 @@
             raise WireError(f"field {name}: expected {expected}, got {value!r}") from None
 
     def number(self, name: str, default: str | None = None) -> float:
-        """A finite number with an optional fraction."""
+        """Return a finite number."""
         value = self._parsed(name, float, "a number", default)
         if not math.isfinite(value):
             raise WireError(f"field {name}: expected a finite number, got {value!r}")
         return value
 
     def integer(self, name: str, default: str | None = None) -> int:
-        """An integer."""
+        """Return an integer."""
         return self._parsed(name, int, "a whole number", default)
 
     def flag(self, name: str) -> bool:
-        """1 or 0; absent is 0."""
+        """Return whether the field is 1; an absent field counts as 0."""
         value = self.text(name, "0")
         if value not in ("0", "1"):
             raise WireError(f"field {name}: expected 1 or 0, got {value!r}")
         return value == "1"
 
     def choice(self, name: str, choices: Mapping[str, T]) -> T:
-        """One of a few words, as what it stands for."""
+        """Return what the value is mapped to in `choices`."""
         value = self.text(name)
         if value not in choices:
             raise WireError(f"field {name}: expected one of {', '.join(choices)}, got {value!r}")
         return choices[value]
 
     def number_list(self, name: str) -> tuple[float, ...]:
-        """Numbers separated by commas; absent is empty."""
+        """Return numbers separated by commas; an absent field is an empty list."""
         value = self._pairs.get(name, "")
         if value in ("", "-"):
             return ()
@@ -115,7 +115,7 @@
 
 
 def read_settings(text: str) -> api.Settings:
-    """The settings in a field's JSON text; raises a ValueError that names the key."""
+    """Parse settings from JSON; raises a ValueError that names the key, a WireError if it is no object."""
     try:
         raw = json.loads(text)
     except ValueError:
@@ -126,7 +126,7 @@
 
 
 def read_server(fields: WireFields) -> api.Server:
-    """One BACKEND line."""
+    """Return the server of a BACKEND line."""
     return api.Server(
         id=fields.integer("backend"),
         zone=fields.text("zone", ""),
@@ -139,7 +139,7 @@
 
 
 def read_event(name: str, fields: WireFields) -> api.Event | None:
-    """The event of one line; None for a message that the engine does not use."""
+    """Return the event of a line; None for a message that the engine does not use."""
     match name:
         case "QUERY":
             return api.Request(
@@ -190,21 +190,21 @@
 
 
 def write_action(door: str, action: api.Action) -> str:
-    """The line of one action of a gateway."""
+    """Return the line for an action of a gateway."""
     match action:
-        case api.SendAttempt(id=rid, server=server, timeout_ms=timeout_ms):
-            return f"HAND_OFF door={door} rid={rid} timeout_ms={timeout_ms:.3f} backend={server}"
-        case api.Reject(id=rid, retry_after_ms=wait_ms):
+        case api.SendAttempt(id=request_id, server=server, timeout_ms=timeout_ms):
+            return f"HAND_OFF door={door} rid={request_id} timeout_ms={timeout_ms:.3f} backend={server}"
+        case api.Reject(id=request_id, retry_after_ms=wait_ms):
             hold = f" hold_off_ms={wait_ms:.3f}" if wait_ms > 0 else ""
-            return f"BOUNCE door={door} rid={rid}{hold}"
-        case api.Fail(id=rid):
-            return f"ABORT door={door} rid={rid}"
+            return f"BOUNCE door={door} rid={request_id}{hold}"
+        case api.Fail(id=request_id):
+            return f"ABORT door={door} rid={request_id}"
         case api.AddToCounter(name=name, units=units, expire_ms=expire_ms):
             return f"POST_AMOUNT door={door} qty={units:.7g} cname={name} expire_in_ms={expire_ms:.3f}"
         case api.SetTimer(at_ms=at_ms, token=token):
             return f"SET_ALARM door={door} when_ms={at_ms:.3f} name={token}"
-        case api.CancelAttempt(id=rid, attempt=attempt):
-            return f"UNDO_SEND door={door} rid={rid} hop={attempt}"
+        case api.CancelAttempt(id=request_id, attempt=attempt):
+            return f"UNDO_SEND door={door} rid={request_id} hop={attempt}"
         case api.CheckHealth(server=server):
             return f"SAMPLE door={door} backend={server}"
         case api.Subscribe():
@@ -214,18 +214,18 @@
 
 
 class EngineHost:
-    """The engines of one process, and the numbered endpoint lists that their events refer to."""
+    """The decision engines of one process, and the numbered endpoint lists that events refer to."""
 
     def __init__(self) -> None:
         self._engines: dict[str, DecisionEngine] = {}
         self._endpoint_lists: dict[int, tuple[api.Server, ...]] = {}
 
     def set_endpoint_list(self, number: int, servers: tuple[api.Server, ...]) -> None:
-        """Keep an endpoint list until its number is used again."""
+        """Store an endpoint list under a number, replacing an earlier one."""
         self._endpoint_lists[number] = servers
 
     def handle_event(self, now_ms: float, name: str, fields: WireFields) -> Iterator[str]:
-        """Give one event to its engine; yields the lines of the actions."""
+        """Pass an event to the engine of its gateway; yields the lines of the resulting actions."""
         door = fields.text("door")
         if name == "DETACH":
             self._engines.pop(door, None)
@@ -259,25 +259,25 @@
 
 
 class _LineReader:
-    """The lines of the input, with the number of the last one for error messages."""
+    """Reads the lines of the input; keeps the number of the last one for error messages."""
 
     def __init__(self, source: TextIO) -> None:
         self._lines = enumerate(source, 1)
         self.number = 0
 
     def __iter__(self) -> Iterator[str]:
-        """The remaining lines, without the empty ones."""
+        """Iterate over the remaining lines that are not empty."""
         for number, text in self._lines:
             self.number = number
             if line := text.rstrip("\r\n"):
                 yield line
 
     def expect(self, name: str) -> WireFields:
-        """The fields of the next line, which has to be this message."""
+        """Return the fields of the next line; raises a WireError if that is not the named message."""
         self.number, text = next(self._lines, (self.number + 1, ""))
-        found, fields = split_line(text.rstrip("\r\n"))
-        if found != name:
-            raise WireError(f"message {found!r}: expected {name}")
+        next_name, fields = split_line(text.rstrip("\r\n"))
+        if next_name != name:
+            raise WireError(f"message {next_name!r}: expected {name}")
         return fields
 
 
@@ -287,9 +287,9 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends; raises a WireError with the line's number."""
+    """Reply to batches until the input ends; raises a WireError with the line's number."""
     host, lines = EngineHost(), _LineReader(source)
-    now_ms: float | None = None  # None: between two batches
+    now_ms: float | None = None  # time of the current batch; None between two batches
     reply: list[str] = []
     try:
         for line in lines:
@@ -312,7 +312,7 @@
 
 
 def main() -> NoReturn:
-    """Serve standard input; 0 at its end, 2 on a malformed line."""
+    """Serve standard input; exits with 0 at its end and with 2 on a malformed line."""
     sys.stdin.reconfigure(encoding="utf-8", newline="\n")  # type: ignore[union-attr]
     try:
         serve(sys.stdin, sys.stdout)
--- a/badgeryoke/decisions/state_snapshot.py
+++ b/badgeryoke/decisions/state_snapshot.py
@@ -1,8 +1,8 @@
-"""The decision state that one process of a gateway hands to the next in a hot restart.
+"""The decision state that a gateway's old process transfers to its new process in a hot restart.
 
-Quotas, ceilings and servers in slow start then see both processes as one gateway.  No I/O.  Times are Unix
-milliseconds, which both processes read from the same clock; servers go by discovery's names, since each
-process numbers them for itself.
+With it, quotas, ceilings and slow starts are enforced as if both processes were one gateway.  This module
+does no I/O.  Times are Unix milliseconds, which both processes read from the same clock.  Servers are
+identified by their names in discovery, as each process numbers them on its own.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from badgeryoke.decisions.policy.quota import REPORT_DELAY_FRACTION, CustomerQuota, QuotaManager
 
 VERSION = 2
-MAX_CUSTOMERS = 20_000  # the last used; the others begin as after a crash
-MAX_BYTES = 8 * 1024 * 1024
+MAX_CUSTOMERS = 20_000  # the most recently used ones; the others start as after a crash
+MAX_BYTES = 8 * 1024 * 1024  # of an encoded snapshot without its header line
 
 # The structs are encoded as arrays: the order of their fields is the format.
 
 
 class QuotaFields(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Fields of a `CustomerQuota` that are handed over as they are."""
+    """Fields of a `CustomerQuota` that are transferred unchanged."""
 
     period: int
     last_total: float
@@ -45,7 +45,7 @@
 
 
 class ServerFields(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Fields of a `ServerState` that are handed over as they are."""
+    """Fields of a `ServerState` that are transferred unchanged."""
 
     aperture_rank: float
     base_latency: float
@@ -63,7 +63,7 @@
 
 
 class QuotaManagerFields(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Fields of the `QuotaManager` that are handed over as they are."""
+    """Fields of the `QuotaManager` that are transferred unchanged."""
 
     call_probability: float
     mean_call_value: float
@@ -72,7 +72,7 @@
 
 
 class LoadBalancerFields(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """Fields of the `LoadBalancer` that are handed over as they are."""
+    """Fields of the `LoadBalancer` that are transferred unchanged."""
 
     mean_latency_ms: float
     recent_sends: float
@@ -91,10 +91,10 @@
     gateway_set_size: int
     first_gateway: int
     period_ms: float
-    tats: tuple[float, float, float | None]  # of the buckets: quota, own share, ceiling's headroom
+    tats: tuple[float, float, float | None]  # TATs of the quota's, the own share's and the headroom's bucket
     unreported_units: float  # the new process reports them
-    correction_units: float
-    uncertain_units: float  # may be in the next total, from calls of the old process
+    correction_units: float  # the new process reports them
+    uncertain_units: float  # units of the old process's calls that the next total may contain
     fields: QuotaFields
 
 
@@ -106,12 +106,12 @@
 
 
 class StateSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """The state of a gateway's decisions."""
+    """The state of a gateway's decision engine."""
 
     customers: list[CustomerSnapshot]
     servers: list[ServerSnapshot]
     quota_manager: QuotaManagerFields
-    conformance: dict[str, float]  # by plan
+    conformance: dict[str, float]  # share of conforming requests, by plan
     balancer: LoadBalancerFields
     retry_budget: float
 
@@ -248,7 +248,7 @@
 
 
 def take_snapshot(engine: DecisionEngine, host_names: Mapping[int, str]) -> StateSnapshot:
-    """The state of an engine whose servers have these names; it goes on unchanged."""
+    """Return the state of an engine, without changing it; `host_names` maps server numbers to names."""
     manager, balancer = engine._quota, engine._balancer
     quotas = sorted(manager._quotas.values(), key=lambda quota: quota.last_used_at)[-MAX_CUSTOMERS:]
     return StateSnapshot(
@@ -266,8 +266,11 @@
 
 
 def mark_transferred(engine: DecisionEngine, snapshot: StateSnapshot) -> None:
-    """The new process serves by the snapshot: it reports the unreported units, and it alone may send under
-    a ceiling without confirmation by the counter."""
+    """Update the old process's engine after the new process has taken over the snapshot.
+
+    The new process reports the unreported units, and only the new process may send unconfirmed requests
+    under a ceiling.
+    """
     for state in snapshot.customers:
         quota = engine._quota._quotas.get(state.customer)
         if quota is not None:
@@ -280,7 +283,10 @@
 def restore_snapshot(
     engine: DecisionEngine, now: float, snapshot: StateSnapshot, server_numbers: Mapping[str, int]
 ) -> list[Action]:
-    """Go on from the old process's state.  What does not fit these settings is left out."""
+    """Restore the old process's state; parts that do not match the engine's settings are left out.
+
+    Returns the timers of scheduled reports.
+    """
     manager, balancer = engine._quota, engine._balancer
     _restore_quota_manager(manager, snapshot.quota_manager)
     shares = {plan: share for plan, share in snapshot.conformance.items() if plan in manager._plans}
@@ -299,7 +305,7 @@
 
 
 def _add_customer(engine: DecisionEngine, now: float, state: CustomerSnapshot) -> list[Action]:
-    """Restore one customer's quota; gives the timer of its report, if one is due."""
+    """Restore one customer's quota; returns the timer of its report if it has units to report."""
     manager = engine._quota
     plan = manager._plans.get(state.plan)
     if plan is None or state.customer in manager._quotas:
@@ -316,25 +322,25 @@
     )
     quota = CustomerQuota(plan, request, engine._settings, now, manager._started_at)
     if quota.period_ms != state.period_ms:
-        return []  # the plan has other figures than in the old process
+        return []  # the plan's rate or burst differs from the one in the old process
     _restore_customer(quota, state)
     manager._quotas[state.customer] = quota
     if not quota.unreported_units and not quota.correction_units:
         return []
     quota.report_scheduled = True
-    # At a random time, so that the counter does not get all reports at once.
+    # The time is random, so that the counter does not get the reports of all customers at once.
     delay_ms = REPORT_DELAY_FRACTION * quota.period_ms * engine._rng.random()
     return [engine._set_timer(now + delay_ms, quota)]
 
 
 def encode(snapshot: StateSnapshot) -> bytes:
-    """The snapshot, after a line with the version, the checksum and the length."""
+    """Encode a snapshot: a line with the version, the checksum and the length, then the snapshot itself."""
     body = msgspec.msgpack.encode(snapshot)
     return b"STATE %d %d %d\n%b" % (VERSION, zlib.crc32(body), len(body), body)
 
 
 def read_head(line: bytes) -> tuple[int, int]:
-    """Checksum and length from the line before a snapshot; raises ValueError."""
+    """Return checksum and length from the line before a snapshot; raises ValueError if it is not valid."""
     words = line.split()
     if len(words) != 4 or words[0] != b"STATE" or not all(word.isdigit() for word in words[1:]):
         raise ValueError(f"not a state: {line[:40]!r}")
@@ -346,7 +352,7 @@
 
 
 def decode(body: bytes, checksum: int) -> StateSnapshot:
-    """The snapshot; raises ValueError."""
+    """Decode a snapshot; raises ValueError if the checksum or the encoding is wrong."""
     if zlib.crc32(body) != checksum:
         raise ValueError("checksum differs")
     try:
