--- a/badgeryoke/gateway/config/platform_file.py
+++ b/badgeryoke/gateway/config/platform_file.py
@@ -118,8 +118,8 @@
         policy_limits = reader.section("policy_limits")
         section = _SettingsSection(
             settings=settings,
-            connect_ms=policy_limits.number("dial_timeout_ms", least=MIN_CONNECT_MS),
-            idle_ms=policy_limits.number("conn_idle_ms", least=MIN_IDLE_MS),
+            connect_ms=policy_limits.number("dial_timeout_ms", minimum=MIN_CONNECT_MS),
+            idle_ms=policy_limits.number("conn_idle_ms", minimum=MIN_IDLE_MS),
             report_names=_read_report_names(reader.section("feedback")),
         )
     except ValueError as error:
