--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -64,7 +64,7 @@
     for name in totals:
         totals[name] += 10.0
     actions = admit(engine, START + 10, request("r1"), totals)
-    assert only(actions, api.Reject) and not only(rejection, api.SendAttempt)
+    assert only(actions, api.Reject) and not only(actions, api.SendAttempt)
 
 
 def counter_names_at_start(customer: int, period_ms: float = 4000.0) -> tuple[int, int]:
@@ -207,18 +207,18 @@
 def test_each_outcome_releases_the_concurrency_limit_once() -> None:
     """However a request ends, it is subtracted exactly once from the attempts in flight."""
     plan = api.Plan("plain", rate=100.0, burst=100.0, concurrency_limit=2)
-    for ending in ("ok", "left", "fail", "held"):
+    for ending in ("ok", "disconnected", "fail", "waiting"):
         engine = gateway(plans=(plan,), max_attempts=1)
         totals: dict[int, float] = {}
         for number in range(12):
             now = START + number * 100.0
-            if ending == "held":
+            if ending == "waiting":
                 calls = only(engine.handle(now, request(f"h{number}", spread=1)), api.AddToCounter)
                 engine.handle(now + 1, api.ClientDisconnected(f"h{number}"))
                 assert not only(answer(engine, now + 2, calls, totals), api.SendAttempt)
                 continue
             [send] = only(admit(engine, now, request(f"r{number}", spread=1), totals), api.SendAttempt)
-            if ending == "left":
+            if ending == "disconnected":
                 engine.handle(now + 5, api.ClientDisconnected(send.id))
                 engine.handle(now + 9, outcome(send, api.Verdict.TIMEOUT, ended=True))
             else:
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules and the failures found, one small case each."""
+"""The decision engine's rules for retries, deadlines, endpoint lists and load, one small case each."""
 
 from __future__ import annotations
 
@@ -11,263 +11,265 @@
 from badgeryoke.decisions.policy.engine import DecisionEngine
 from tests.support.samples import SETTINGS, START, admit, gateway, only, outcome, request, server
 
-FREE = api.Plan("plain")  # a plan without a quota, for tests that are not about quotas
+UNLIMITED = api.Plan("plain")  # a plan without a quota, for tests that are not about quotas
 
 
-def free(**changes: Any) -> DecisionEngine:
-    return gateway(plans=(FREE,), **changes)
+def gateway_without_quota(**changes: Any) -> DecisionEngine:
+    return gateway(plans=(UNLIMITED,), **changes)
 
 
-def sends(made: DecisionEngine, now: float, event: api.Event) -> list[api.SendAttempt]:
-    return only(made.handle(now, event), api.SendAttempt)
+def sends(engine: DecisionEngine, now: float, event: api.Event) -> list[api.SendAttempt]:
+    return only(engine.handle(now, event), api.SendAttempt)
 
 
-def test_a_good_answer_ends_a_request_and_nothing_follows() -> None:
-    made = free()
-    [send] = sends(made, START, request("r0"))
-    assert made.handle(START + 50, outcome(send, api.Verdict.OK)) == []
-    assert made.handle(START + 60, api.ClientDisconnected("r0")) == []
-    assert made.handle(START + 60, outcome(send, api.Verdict.TIMEOUT, ended=True)) == []
+def test_a_successful_response_ends_a_request_and_nothing_follows() -> None:
+    engine = gateway_without_quota()
+    [send] = sends(engine, START, request("r0"))
+    assert engine.handle(START + 50, outcome(send, api.Verdict.OK)) == []
+    assert engine.handle(START + 60, api.ClientDisconnected("r0")) == []
+    assert engine.handle(START + 60, outcome(send, api.Verdict.TIMEOUT, ended=True)) == []
 
 
-def test_no_send_may_outlast_the_client() -> None:
-    [send] = sends(free(), START, request("r0", remaining=700.0))
+def test_the_timeout_of_an_attempt_is_within_the_clients_deadline() -> None:
+    [send] = sends(gateway_without_quota(), START, request("r0", remaining=700.0))
     assert send.timeout_ms <= 700.0
 
 
-def test_the_time_out_at_the_deadline_gets_its_final_answer() -> None:
-    made = free()
-    [send] = sends(made, START, request("r0", cls="pay", remaining=700.0))
-    last = made.handle(START + 700, outcome(send, api.Verdict.TIMEOUT, rtt=700.0))
+def test_a_timeout_at_the_deadline_gets_a_final_answer() -> None:
+    engine = gateway_without_quota()
+    [send] = sends(engine, START, request("r0", cls="pay", remaining=700.0))
+    last = engine.handle(START + 700, outcome(send, api.Verdict.TIMEOUT, rtt=700.0))
     assert last == [api.Fail("r0")]
 
 
-def test_a_client_that_left_while_held_for_the_counter_is_not_sent() -> None:
-    made = gateway()
-    counts = only(made.handle(START, request("r0")), api.AddToCounter)
-    made.handle(START + 1, api.ClientDisconnected("r0"))
-    for count in counts:
+def test_a_request_whose_client_disconnects_during_the_counter_call_is_not_sent() -> None:
+    engine = gateway()
+    calls = only(engine.handle(START, request("r0")), api.AddToCounter)
+    engine.handle(START + 1, api.ClientDisconnected("r0"))
+    for call in calls:
         assert (
             only(
-                made.handle(START + 2, api.CounterReply(count.name, api.Verdict.OK, 2.0, 1.0)),
+                engine.handle(START + 2, api.CounterReply(call.name, api.Verdict.OK, 2.0, 1.0)),
                 api.SendAttempt,
             )
             == []
         )
 
 
-def test_unsafe_goes_again_only_when_it_never_ran() -> None:
-    made = free()
-    [send] = sends(made, START, request("r0", cls="pay"))
-    [again] = sends(made, START + 5, outcome(send, api.Verdict.QUEUE_FULL))
-    assert again.server != send.server
-    assert made.handle(START + 9, outcome(again, api.Verdict.RESET, 1)) == [api.Fail("r0")]
+def test_a_not_idempotent_request_is_retried_only_if_it_was_not_executed() -> None:
+    engine = gateway_without_quota()
+    [send] = sends(engine, START, request("r0", cls="pay"))
+    [retry] = sends(engine, START + 5, outcome(send, api.Verdict.QUEUE_FULL))
+    assert retry.server != send.server
+    assert engine.handle(START + 9, outcome(retry, api.Verdict.RESET, 1)) == [api.Fail("r0")]
 
 
-def test_keyed_stays_in_its_group_and_is_never_refused_once_it_may_have_run() -> None:
-    made = free()
+def test_a_request_with_a_key_is_retried_in_its_zone_and_not_rejected_once_it_may_have_run() -> None:
+    engine = gateway_without_quota()
     zone = {1: "a", 2: "a", 3: "b", 4: "b"}
-    [send] = sends(made, START, request("r0", cls="write"))
-    [again] = sends(made, START + 5, outcome(send, api.Verdict.ERROR, rtt=5.0))
-    assert zone[again.server] == zone[send.server]
-    [third] = sends(made, START + 10, outcome(again, api.Verdict.CONNECT_FAILED, 1, rtt=5.0))
+    [send] = sends(engine, START, request("r0", cls="write"))
+    [retry] = sends(engine, START + 5, outcome(send, api.Verdict.ERROR, rtt=5.0))
+    assert zone[retry.server] == zone[send.server]
+    [third] = sends(engine, START + 10, outcome(retry, api.Verdict.CONNECT_FAILED, 1, rtt=5.0))
     assert zone[third.server] == zone[send.server]
-    assert made.handle(START + 15, outcome(third, api.Verdict.ERROR, 2, rtt=5.0)) == [api.Fail("r0")]
+    assert engine.handle(START + 15, outcome(third, api.Verdict.ERROR, 2, rtt=5.0)) == [api.Fail("r0")]
 
 
-def test_keyed_is_not_sent_again_after_its_window() -> None:
-    made = free(classes=(replace(SETTINGS.classes[1], latency_objective_ms=9000.0, deadline_ms=9000.0),))
-    [send] = sends(made, START, request("r0", cls="write", remaining=9000.0))
-    late = made.handle(START + 3001, outcome(send, api.Verdict.RESET, rtt=3001.0))
+def test_a_request_with_a_key_is_not_retried_after_its_deduplication_window() -> None:
+    engine = gateway_without_quota(
+        classes=(replace(SETTINGS.classes[1], latency_objective_ms=9000.0, deadline_ms=9000.0),)
+    )
+    [send] = sends(engine, START, request("r0", cls="write", remaining=9000.0))
+    late = engine.handle(START + 3001, outcome(send, api.Verdict.RESET, rtt=3001.0))
     assert late == [api.Fail("r0")]
 
 
 @pytest.mark.parametrize(
-    ("cls", "given_up"), [("read", True), ("write", True), ("pay", False), ("short", False)]
+    ("cls", "is_cancelled"), [("read", True), ("write", True), ("pay", False), ("short", False)]
 )
-def test_a_silent_attempt_is_called_off_only_where_its_class_may_be_sent_again(
-    cls: str, given_up: bool
-) -> None:
+def test_a_silent_attempt_is_cancelled_only_if_its_class_allows_a_retry(cls: str, is_cancelled: bool) -> None:
     short = replace(
         SETTINGS.classes[1], name="short", deduplication_window_ms=50.0
-    )  # it is over before silence can be told
-    made = gateway(has_counter=False, classes=(*SETTINGS.classes, short))
-    actions = made.handle(START, request("a", cls))
-    [wake] = only(actions, api.SetTimer)
-    assert wake.at_ms < START + 4000.0
-    assert bool(only(made.handle(wake.at_ms, api.TimerFired(wake.token)), api.CancelAttempt)) is given_up
+    )  # the window ends before silence can be detected
+    engine = gateway(has_counter=False, classes=(*SETTINGS.classes, short))
+    actions = engine.handle(START, request("a", cls))
+    [timer] = only(actions, api.SetTimer)
+    assert timer.at_ms < START + 4000.0
+    assert (
+        bool(only(engine.handle(timer.at_ms, api.TimerFired(timer.token)), api.CancelAttempt)) is is_cancelled
+    )
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.GONE])
-def test_no_send_after_word_of_a_drain(state: api.EndpointState) -> None:
-    made = free(servers=[server(1), server(2)])
-    made.handle(START, api.EndpointList(api.ListScope.CHANGES, (server(1, state=state),)))
+def test_a_draining_or_removed_server_gets_no_attempt(state: api.EndpointState) -> None:
+    engine = gateway_without_quota(servers=[server(1), server(2)])
+    engine.handle(START, api.EndpointList(api.ListScope.CHANGES, (server(1, state=state),)))
     for number in range(20):
-        assert all(s.server == 2 for s in sends(made, START + 1, request(f"r{number}")))
+        assert all(s.server == 2 for s in sends(engine, START + 1, request(f"r{number}")))
 
 
-def test_a_server_missing_from_a_full_list_has_gone() -> None:
-    made = free(servers=[server(1), server(2)])
-    made.handle(START, api.EndpointList(api.ListScope.FULL, (server(2),)))
-    assert [s.server for s in sends(made, START, request("r0"))] == [2]
+def test_a_server_missing_from_a_full_list_is_removed() -> None:
+    engine = gateway_without_quota(servers=[server(1), server(2)])
+    engine.handle(START, api.EndpointList(api.ListScope.FULL, (server(2),)))
+    assert [s.server for s in sends(engine, START, request("r0"))] == [2]
 
 
-def test_cold_servers_get_no_burst_at_the_gateways_own_start() -> None:
-    got = 0
+def test_servers_in_slow_start_get_no_burst_when_the_gateways_start() -> None:
+    attempts_sent = 0
     for seed in range(200):
-        made = free(servers=[server(1, started=START - 100)], gateway_count=200, seed=seed)
-        got += len(sends(made, START + 1, request("r0")))
-    assert got <= 2
+        engine = gateway_without_quota(servers=[server(1, started=START - 100)], gateway_count=200, seed=seed)
+        attempts_sent += len(sends(engine, START + 1, request("r0")))
+    assert attempts_sent <= 2
 
 
-def test_the_choice_is_spread_where_little_is_known() -> None:
-    """Hundreds of gateways that each know a little must not all choose the server that looks best."""
+def test_the_choice_is_spread_if_there_are_few_samples() -> None:
+    """Hundreds of gateways with few samples each must not all choose the server that looks best."""
     counts = {number: 0 for number in range(1, 5)}
     for seed in range(400):
-        made = free(gateway_count=300, seed=seed)
+        engine = gateway_without_quota(gateway_count=300, seed=seed)
         for number in range(2):
             now = START + number * 900.0
-            for send in sends(made, now, request(f"r{number}")):
+            for send in sends(engine, now, request(f"r{number}")):
                 counts[send.server] += number
-                made.handle(now, outcome(send, api.Verdict.OK, rtt=30.0 if send.server == 1 else 60.0))
+                engine.handle(now, outcome(send, api.Verdict.OK, rtt=30.0 if send.server == 1 else 60.0))
     assert max(counts.values()) <= 2 * 400 / 4
 
 
-def test_the_brake_holds_over_all_servers() -> None:
-    """A limit for each server comes to hundreds over all gateways: slow answers close the gateway's own."""
-    made = free(servers=[server(n) for n in range(1, 41)], gateway_count=300)
-    now, got = START, 0
+def test_the_concurrency_limit_applies_to_all_servers_together() -> None:
+    """Limits per server would add up to hundreds over all gateways; slow responses lower the gateway's limit."""
+    engine = gateway_without_quota(servers=[server(n) for n in range(1, 41)], gateway_count=300)
+    now, attempts_sent = START, 0
     for number in range(200):
         now += 100.0
-        out = [s for n in range(10) for s in sends(made, now, request(f"r{number}-{n}"))]
-        got = len(out)
+        out = [s for n in range(10) for s in sends(engine, now, request(f"r{number}-{n}"))]
+        attempts_sent = len(out)
         for send in out:
-            made.handle(now + 90, outcome(send, api.Verdict.OK, rtt=900.0))
-    assert got <= 2
+            engine.handle(now + 90, outcome(send, api.Verdict.OK, rtt=900.0))
+    assert attempts_sent <= 2
 
 
-def test_a_silent_server_is_left_and_tried_again_with_one_request() -> None:
-    made = free(servers=[server(1), server(2)])
+def test_a_silent_server_is_avoided_and_retried_with_single_requests() -> None:
+    engine = gateway_without_quota(servers=[server(1), server(2)])
     now, lost = START, {1: 0, 2: 0}
     for number in range(400):
         now += 25.0
-        actions = made.handle(now, request(f"r{number}"))
-        wakes = only(actions, api.SetTimer)
+        actions = engine.handle(now, request(f"r{number}"))
+        timers = only(actions, api.SetTimer)
         for send in only(actions, api.SendAttempt):
             lost[send.server] += 1
             if send.server == 2:
-                made.handle(now, outcome(send, api.Verdict.OK, rtt=40.0))
-            elif wakes:
-                for action in made.handle(now + 1000, api.TimerFired(wakes[0].token)):
+                engine.handle(now, outcome(send, api.Verdict.OK, rtt=40.0))
+            elif timers:
+                for action in engine.handle(now + 1000, api.TimerFired(timers[0].token)):
                     assert isinstance(action, api.CancelAttempt)
-                    for more in only(
-                        made.handle(now + 1000, outcome(send, api.Verdict.CANCELLED, rtt=1000.0)),
+                    for retry in only(
+                        engine.handle(now + 1000, outcome(send, api.Verdict.CANCELLED, rtt=1000.0)),
                         api.SendAttempt,
                     ):
-                        made.handle(now + 1000, outcome(more, api.Verdict.OK, 1, rtt=40.0))
+                        engine.handle(now + 1000, outcome(retry, api.Verdict.OK, 1, rtt=40.0))
     assert lost[1] <= 12 and lost[2] >= 380
 
 
-def test_a_slow_server_that_answers_is_not_taken_for_silent() -> None:
-    made = free(servers=[server(1)])
-    actions = made.handle(START, request("r0"))
-    [wake] = only(actions, api.SetTimer)
-    [other] = sends(made, START + 100, request("r1"))
-    made.handle(wake.at_ms - 10, outcome(other, api.Verdict.OK, rtt=300.0))
-    assert only(made.handle(wake.at_ms, api.TimerFired(wake.token)), api.CancelAttempt) == []
+def test_a_slow_server_that_responds_is_not_silent() -> None:
+    engine = gateway_without_quota(servers=[server(1)])
+    actions = engine.handle(START, request("r0"))
+    [timer] = only(actions, api.SetTimer)
+    [second] = sends(engine, START + 100, request("r1"))
+    engine.handle(timer.at_ms - 10, outcome(second, api.Verdict.OK, rtt=300.0))
+    assert only(engine.handle(timer.at_ms, api.TimerFired(timer.token)), api.CancelAttempt) == []
 
 
-def test_a_full_server_is_no_magnet() -> None:
-    """A full queue answers at once; it must not look like the quickest server there is."""
-    made = free(servers=[server(1), server(2)])
+def test_a_server_with_a_full_queue_does_not_attract_traffic() -> None:
+    """A server with a full queue responds at once; it must not look like the fastest server."""
+    engine = gateway_without_quota(servers=[server(1), server(2)])
     now, tried = START, 0
     for number in range(200):
         now += 10.0
-        for send in sends(made, now, request(f"r{number}")):
+        for send in sends(engine, now, request(f"r{number}")):
             if send.server == 1:
                 tried += 1
-                for more in sends(made, now, outcome(send, api.Verdict.QUEUE_FULL, rtt=1.0)):
-                    made.handle(now, outcome(more, api.Verdict.OK, 1, rtt=100.0))
+                for retry in sends(engine, now, outcome(send, api.Verdict.QUEUE_FULL, rtt=1.0)):
+                    engine.handle(now, outcome(retry, api.Verdict.OK, 1, rtt=100.0))
             else:
-                made.handle(now, outcome(send, api.Verdict.OK, rtt=100.0))
+                engine.handle(now, outcome(send, api.Verdict.OK, rtt=100.0))
     assert tried <= 20
 
 
-def test_all_servers_failing_are_not_all_left() -> None:
-    made = free(max_attempts=1)
+def test_servers_still_get_attempts_if_all_of_them_fail() -> None:
+    engine = gateway_without_quota(max_attempts=1)
     now = START
     for number in range(60):
         now += 20.0
-        for send in sends(made, now, request(f"r{number}")):
-            made.handle(now, outcome(send, api.Verdict.RESET, rtt=5.0))
-    assert any(sends(made, now + step, request(f"x{step}")) for step in range(10))
+        for send in sends(engine, now, request(f"r{number}")):
+            engine.handle(now, outcome(send, api.Verdict.RESET, rtt=5.0))
+    assert any(sends(engine, now + step, request(f"x{step}")) for step in range(10))
 
 
-def test_further_attempts_are_bounded_by_the_retry_budget() -> None:
-    made = free()
+def test_retries_are_bounded_by_the_retry_budget() -> None:
+    engine = gateway_without_quota()
     attempts = requests = 0
     now = START
     for number in range(400):
         now += 20.0
         requests += 1
-        waiting = [(s, 0) for s in sends(made, now, request(f"r{number}"))]
+        waiting = [(s, 0) for s in sends(engine, now, request(f"r{number}"))]
         while waiting:
             send, attempt = waiting.pop()
             attempts += 1
-            more = sends(made, now, outcome(send, api.Verdict.ERROR, attempt, rtt=5.0))
-            waiting += [(s, attempt + 1) for s in more]
+            retries = sends(engine, now, outcome(send, api.Verdict.ERROR, attempt, rtt=5.0))
+            waiting += [(s, attempt + 1) for s in retries]
     assert requests * 1.1 < attempts <= requests * 1.4 + 21
 
 
-def test_what_is_out_at_a_silent_fleet_is_bounded() -> None:
-    """A surge must not overdrive servers before their first answers tell what they bear."""
-    made = free()
-    got = [s for n in range(500) for s in sends(made, START, request(f"r{n}"))]
-    assert len(got) <= 4 * 6
+def test_attempts_in_flight_at_servers_without_responses_are_bounded() -> None:
+    """A surge must not overload the servers before their first responses show their capacity."""
+    engine = gateway_without_quota()
+    attempts_sent = [s for n in range(500) for s in sends(engine, START, request(f"r{n}"))]
+    assert len(attempts_sent) <= 4 * 6
 
 
-def test_no_known_server_means_a_refusal() -> None:
-    made = free(servers=[])
-    assert only(made.handle(START, request("r0")), api.Reject)
+def test_a_request_is_rejected_if_there_is_no_server() -> None:
+    engine = gateway_without_quota(servers=[])
+    assert only(engine.handle(START, request("r0")), api.Reject)
 
 
 def test_stale_timers_and_unknown_ids_do_nothing() -> None:
-    made = free()
-    assert made.handle(START, api.TimerFired(99)) == []
-    assert made.handle(START, api.ClientDisconnected("zz")) == []
-    assert made.handle(START, api.CounterReply(5, api.Verdict.OK, 1.0, 3.0)) == []
-    assert made.handle(START, api.AttemptOutcome("zz", 0, 77, api.Verdict.OK, 1.0, True)) == []
+    engine = gateway_without_quota()
+    assert engine.handle(START, api.TimerFired(99)) == []
+    assert engine.handle(START, api.ClientDisconnected("zz")) == []
+    assert engine.handle(START, api.CounterReply(5, api.Verdict.OK, 1.0, 3.0)) == []
+    assert engine.handle(START, api.AttemptOutcome("zz", 0, 77, api.Verdict.OK, 1.0, True)) == []
 
 
-def test_an_unknown_class_is_named() -> None:
+def test_the_error_names_an_unknown_class() -> None:
     with pytest.raises(ValueError, match="video"):
-        free().handle(START, request("r0", cls="video"))
+        gateway_without_quota().handle(START, request("r0", cls="video"))
 
 
 @pytest.mark.parametrize(
     ("key", "value"), [("gateway_count", 0), ("max_attempts", 0), ("slow_start_fraction", -1.0)]
 )
-def test_impossible_settings_are_named(key: str, value: float) -> None:
+def test_the_error_names_an_invalid_setting(key: str, value: float) -> None:
     with pytest.raises(ValueError, match=key):
         replace(SETTINGS, **{key: value})  # type: ignore[arg-type]
 
 
-def test_a_negative_rate_is_named() -> None:
+def test_the_error_names_a_negative_rate() -> None:
     with pytest.raises(ValueError, match="rate"):
         api.Plan("plain", rate=-1.0, burst=1.0)
 
 
-def test_same_events_same_actions() -> None:
+def test_the_same_events_give_the_same_actions() -> None:
     def run() -> list[api.Action]:
-        made = gateway(seed=9)
+        engine = gateway(seed=9)
         totals: dict[int, float] = {}
         out: list[api.Action] = []
         for number in range(300):
             now = START + number * 37.0
-            actions = admit(made, now, request(f"r{number}", customer=number % 11), totals)
+            actions = admit(engine, now, request(f"r{number}", customer=number % 11), totals)
             out += actions
             for send in only(actions, api.SendAttempt):
-                out += made.handle(now + 20, outcome(send, api.Verdict.OK, rtt=20.0))
+                out += engine.handle(now + 20, outcome(send, api.Verdict.OK, rtt=20.0))
         return out
 
     first = run()
@@ -275,121 +277,125 @@
     assert first == run()
 
 
-def test_a_long_overload_keeps_the_brake_on() -> None:
-    """Slow answers for long must not raise what counts as slow: the target does not follow the latencies."""
-    made = free(servers=[server(1)])
+def test_the_concurrency_limit_stays_low_during_a_long_overload() -> None:
+    """A long time of slow responses must not raise the target latency: it does not follow the latencies."""
+    engine = gateway_without_quota(servers=[server(1)])
     now = START
     for number in range(600):
         now += 50.0
-        for send in sends(made, now, request(f"r{number}")):
-            made.handle(now + 40, outcome(send, api.Verdict.OK, rtt=600.0))
-    got = [s for n in range(20) for s in sends(made, now + n, request(f"x{n}"))]
-    assert 1 <= len(got) <= 2
+        for send in sends(engine, now, request(f"r{number}")):
+            engine.handle(now + 40, outcome(send, api.Verdict.OK, rtt=600.0))
+    attempts_sent = [s for n in range(20) for s in sends(engine, now + n, request(f"x{n}"))]
+    assert 1 <= len(attempts_sent) <= 2
 
 
-@pytest.mark.parametrize("over_worth", [0.0, 0.2, 5.0])
-def test_what_is_beyond_the_quota_is_refused_whatever_it_would_earn(over_worth: float) -> None:
-    plan = api.Plan("plain", rate=1.0, burst=2.0, over_quota_value=over_worth, over_quota_cost=0.0)
-    made = gateway(plans=(plan,), has_counter=False)
-    sent = sum(len(sends(made, START + n, request(f"r{n}"))) for n in range(20))
+@pytest.mark.parametrize("over_quota_value", [0.0, 0.2, 5.0])
+def test_a_request_over_quota_is_rejected_whatever_its_value(over_quota_value: float) -> None:
+    plan = api.Plan("plain", rate=1.0, burst=2.0, over_quota_value=over_quota_value, over_quota_cost=0.0)
+    engine = gateway(plans=(plan,), has_counter=False)
+    sent = sum(len(sends(engine, START + n, request(f"r{n}"))) for n in range(20))
     assert 1 <= sent <= 2
 
 
 def test_full_connection_tables_keep_gateways_to_their_servers() -> None:
-    """With hundreds of gateways every server's table fills: going round all servers gets no connection."""
-    made = free(servers=[server(n) for n in range(1, 101)], gateway_count=600, max_attempts=1)
-    good, now = 0, START
+    """With hundreds of gateways every server's connection table is full: other servers accept no connection."""
+    engine = gateway_without_quota(
+        servers=[server(n) for n in range(1, 101)], gateway_count=600, max_attempts=1
+    )
+    successes, now = 0, START
     for number in range(300):
         now += 200.0
-        for send in sends(made, now, request(f"r{number}")):
+        for send in sends(engine, now, request(f"r{number}")):
             if send.server <= 5:
-                good += number >= 200
-                made.handle(now + 60, outcome(send, api.Verdict.OK))
+                successes += number >= 200
+                engine.handle(now + 60, outcome(send, api.Verdict.OK))
             else:
-                made.handle(now + 3, outcome(send, api.Verdict.CONNECT_FAILED, rtt=3.0))
-    assert good >= 50
+                engine.handle(now + 3, outcome(send, api.Verdict.CONNECT_FAILED, rtt=3.0))
+    assert successes >= 50
 
 
-def test_a_limit_that_slow_answers_took_off_comes_back_with_quick_ones() -> None:
-    """It came back only through answers that met it: minutes of refusals followed a stall of a second."""
-    made = free()
-    made._balancer._extra_concurrency = -2.0
+def test_a_limit_lowered_by_slow_responses_recovers_with_fast_ones() -> None:
+    """It recovered only by responses at the limit: a stall of one second was followed by minutes of rejections."""
+    engine = gateway_without_quota()
+    engine._balancer._extra_concurrency = -2.0
     for n in range(200):
         now = START + 20 * n
-        for send in sends(made, now, request(f"q{n}")):
-            made.handle(now + 10, outcome(send, api.Verdict.OK, rtt=10.0))
-    assert made._balancer._extra_concurrency >= 0
+        for send in sends(engine, now, request(f"q{n}")):
+            engine.handle(now + 10, outcome(send, api.Verdict.OK, rtt=10.0))
+    assert engine._balancer._extra_concurrency >= 0
 
 
-def test_a_cold_server_is_expected_to_be_slow_until_it_is_warm() -> None:
-    """Unseen, it was taken to be as quick as the others, and its first requests came late."""
+def test_the_expected_latency_of_a_server_is_higher_during_slow_start() -> None:
+    """Without samples it was assumed to be as fast as the others, and its first responses were late."""
     cold, warm = server(2, started=START - 1.0), server(1)
-    made = free(servers=[warm, cold])
-    at = {n: sum(made._balancer._expected_latency(START, made._balancer._servers[n])) for n in (1, 2)}
-    assert at[2] == pytest.approx(at[1] / SETTINGS.slow_start_fraction, rel=0.01)
-    assert sum(made._balancer._expected_latency(START + 10_000, made._balancer._servers[2])) == pytest.approx(
-        at[1]
-    )
-
-
-def measured() -> DecisionEngine:
-    """One server, whose answers took 20 ms so far."""
-    made = free(servers=[server(1)], can_cancel=False)
+    engine = gateway_without_quota(servers=[warm, cold])
+    latency_ms = {
+        n: sum(engine._balancer._expected_latency(START, engine._balancer._servers[n])) for n in (1, 2)
+    }
+    assert latency_ms[2] == pytest.approx(latency_ms[1] / SETTINGS.slow_start_fraction, rel=0.01)
+    assert sum(
+        engine._balancer._expected_latency(START + 10_000, engine._balancer._servers[2])
+    ) == pytest.approx(latency_ms[1])
+
+
+def measured_gateway() -> DecisionEngine:
+    """Return a gateway with one server, whose responses took 20 ms so far."""
+    engine = gateway_without_quota(servers=[server(1)], can_cancel=False)
     for n in range(5):
-        for send in sends(made, START - 100 + n, request(f"m{n}")):
-            made.handle(START - 50 + n, outcome(send, api.Verdict.OK, rtt=20.0))
-    return made
+        for send in sends(engine, START - 100 + n, request(f"m{n}")):
+            engine.handle(START - 50 + n, outcome(send, api.Verdict.OK, rtt=20.0))
+    return engine
 
 
-def test_a_jam_that_is_only_guessed_is_tried_again_and_gives_way_to_a_measure() -> None:
-    """Where all servers were held to be jammed all tries were refused, and nothing told that none was."""
-    made = measured()
-    [send] = sends(made, START, request("r0"))
-    made.handle(START + 3000, outcome(send, api.Verdict.TIMEOUT, rtt=3000.0, ended=True))
+def test_an_estimated_queue_gets_a_trial_and_is_replaced_by_a_measurement() -> None:
+    """If all servers were estimated to be congested, all requests were rejected and no response corrected it."""
+    engine = measured_gateway()
+    [send] = sends(engine, START, request("r0"))
+    engine.handle(START + 3000, outcome(send, api.Verdict.TIMEOUT, rtt=3000.0, ended=True))
     now = START + 3001.0
-    [trial] = sends(made, now, request("r1"))  # nothing was sent there for longer than an aim
-    assert sends(made, now + 1, request("r2")) == []  # one at a time
-    made.handle(now + 20, outcome(trial, api.Verdict.OK, rtt=20.0))
-    assert len(sends(made, now + 21, request("r3"))) == 1
-
-
-def test_an_attempt_that_a_later_one_overtook_tells_of_no_queue() -> None:
-    """One answer lost on a connection that fell silent made its server look jammed until the deadline."""
-    made = measured()
-    sends(made, START, request("lost"))
-    [send] = sends(made, START + 10, request("r1"))
-    assert sum(made._balancer._expected_latency(START + 900, made._balancer._servers[1])) > 600
-    made.handle(START + 900, outcome(send, api.Verdict.OK, rtt=50.0))
-    assert sum(made._balancer._expected_latency(START + 900, made._balancer._servers[1])) < 400
-
-
-def test_an_answer_lost_on_its_way_jams_no_server() -> None:
-    """One attempt that timed out at its deadline kept its server out, though it had answered all others."""
-    made = measured()
-    [lost] = sends(made, START, request("lost"))
-    [send] = sends(made, START + 10, request("r1"))
-    made.handle(START + 30, outcome(send, api.Verdict.OK, rtt=20.0))
-    made.handle(START + 3900, outcome(lost, api.Verdict.TIMEOUT, rtt=3900.0, ended=True))
-    assert sum(made._balancer._expected_latency(START + 3900, made._balancer._servers[1])) < 200
-
-
-def test_a_server_that_is_only_guessed_to_be_jammed_is_tried_beside_sound_ones() -> None:
-    """It was tried only where no sound one was left: few servers bore all while the others stood idle."""
-    made = free(servers=[server(1), server(2)], can_cancel=False)
+    [trial] = sends(engine, now, request("r1"))  # nothing was sent for longer than a latency objective
+    assert sends(engine, now + 1, request("r2")) == []  # one at a time
+    engine.handle(now + 20, outcome(trial, api.Verdict.OK, rtt=20.0))
+    assert len(sends(engine, now + 21, request("r3"))) == 1
+
+
+def test_an_attempt_overtaken_by_a_later_one_indicates_no_queue() -> None:
+    """One response lost with its connection made its server look congested until the deadline."""
+    engine = measured_gateway()
+    sends(engine, START, request("lost"))
+    [send] = sends(engine, START + 10, request("r1"))
+    assert sum(engine._balancer._expected_latency(START + 900, engine._balancer._servers[1])) > 600
+    engine.handle(START + 900, outcome(send, api.Verdict.OK, rtt=50.0))
+    assert sum(engine._balancer._expected_latency(START + 900, engine._balancer._servers[1])) < 400
+
+
+def test_a_lost_response_does_not_make_a_server_look_congested() -> None:
+    """One attempt that timed out at its deadline excluded a server that had responded to all others."""
+    engine = measured_gateway()
+    [lost] = sends(engine, START, request("lost"))
+    [send] = sends(engine, START + 10, request("r1"))
+    engine.handle(START + 30, outcome(send, api.Verdict.OK, rtt=20.0))
+    engine.handle(START + 3900, outcome(lost, api.Verdict.TIMEOUT, rtt=3900.0, ended=True))
+    assert sum(engine._balancer._expected_latency(START + 3900, engine._balancer._servers[1])) < 200
+
+
+def test_a_server_with_an_estimated_queue_gets_trials_besides_healthy_servers() -> None:
+    """It got trials only if no healthy server was left: few servers took all requests, the others were idle."""
+    engine = gateway_without_quota(servers=[server(1), server(2)], can_cancel=False)
     for n in range(40):
-        for send in sends(made, START - 500 + 5 * n, request(f"m{n}")):
-            made.handle(START - 490 + 5 * n, outcome(send, api.Verdict.OK, rtt=20.0))
-    jammed = made._balancer._servers[2]
-    made._balancer._record_congestion(START, jammed, 3000.0)
-    jammed.last_sent_at, jammed.base_latency = (
+        for send in sends(engine, START - 500 + 5 * n, request(f"m{n}")):
+            engine.handle(START - 490 + 5 * n, outcome(send, api.Verdict.OK, rtt=20.0))
+    congested = engine._balancer._servers[2]
+    engine._balancer._record_congestion(START, congested, 3000.0)
+    congested.last_sent_at, congested.base_latency = (
         START,
-        made._balancer._servers[1].base_latency,
-    )  # as quick as the other, but for the guess
+        engine._balancer._servers[1].base_latency,
+    )  # as fast as the other, except for the estimated queue
     chosen: dict[int, list[int]] = {100: [], 1200: []}
-    for at, servers in chosen.items():
+    for offset_ms, servers in chosen.items():
         for n in range(20):
-            for send in sends(made, START + at + n, request(f"{at}-{n}")):
+            for send in sends(engine, START + offset_ms + n, request(f"{offset_ms}-{n}")):
                 servers.append(send.server)
                 if send.server == 1:
-                    made.handle(START + at + n, outcome(send, api.Verdict.OK, rtt=20.0))
+                    engine.handle(START + offset_ms + n, outcome(send, api.Verdict.OK, rtt=20.0))
     assert 2 not in chosen[100] and 2 in chosen[1200]
