--- a/tests/decisions/test_random_settings.py
+++ b/tests/decisions/test_random_settings.py
@@ -1,4 +1,4 @@
-"""Rule 2 and changed settings under random events: a checker that sees events and actions alone."""
+"""Retries and changed settings under random events, checked by events and actions only."""
 
 from __future__ import annotations
 
@@ -17,317 +17,340 @@
 BAD = [v for v in api.Verdict if v not in (api.Verdict.OK, api.Verdict.TIMEOUT, api.Verdict.CANCELLED)]
 
 
-def drawn(draw: random.Random) -> api.Settings:
-    """Some customer's settings: every effect, group and window may come, in any mix."""
+def random_settings(rng: random.Random) -> api.Settings:
+    """Return random settings with any mix of idempotency, deduplication scope and window, quota and ceiling."""
     classes = []
-    for n in range(draw.randrange(1, 4)):
-        deadline = draw.choice([80.0, 600.0, 3000.0])
-        window = draw.choice([0.0, 1.0, 0.2 * deadline, 0.9 * deadline, 5 * deadline])
+    for n in range(rng.randrange(1, 4)):
+        deadline = rng.choice([80.0, 600.0, 3000.0])
+        window = rng.choice([0.0, 1.0, 0.2 * deadline, 0.9 * deadline, 5 * deadline])
         classes.append(
             api.RequestClass(
                 f"c{n}",
-                draw.choice([0.2, 0.7, 1.0]) * deadline,
+                rng.choice([0.2, 0.7, 1.0]) * deadline,
                 deadline,
-                draw.choice(list(api.Idempotency)),
-                draw.choice(list(api.DeduplicationScope)),
+                rng.choice(list(api.Idempotency)),
+                rng.choice(list(api.DeduplicationScope)),
                 window,
             )
         )
     plans = []
     for n in range(3):
-        rate = draw.choice([0.0, 0.5, 20.0])
-        ceiling = draw.choice([0.0, 2.0]) * rate
+        rate = rng.choice([0.0, 0.5, 20.0])
+        ceiling = rng.choice([0.0, 2.0]) * rate
         plans.append(
             api.Plan(
                 f"p{n}",
                 rate,
-                draw.choice([1.0, 2.0]) * max(rate, 1.0),
-                draw.choice([0, 3]),
+                rng.choice([1.0, 2.0]) * max(rate, 1.0),
+                rng.choice([0, 3]),
                 ceiling_rate=ceiling,
                 ceiling_burst=2.5 * ceiling,
-                over_quota_cost=draw.random(),
+                over_quota_cost=rng.random(),
             )
         )
     return api.Settings(
-        gateway_index=draw.randrange(3),
-        gateway_count=draw.choice([1, 3, 200]),
+        gateway_index=rng.randrange(3),
+        gateway_count=rng.choice([1, 3, 200]),
         zone="a",
         tick_ms=2.0,
         classes=tuple(classes),
         plans=tuple(plans),
-        has_counter=draw.random() < 0.8,
-        counter_timeout_ms=draw.choice([5.0, 50.0]),
+        has_counter=rng.random() < 0.8,
+        counter_timeout_ms=rng.choice([5.0, 50.0]),
         max_request_units=4.0,
-        max_attempts=draw.randrange(2, 6),
-        can_cancel=draw.random() < 0.8,
+        max_attempts=rng.randrange(2, 6),
+        can_cancel=rng.random() < 0.8,
         response_slack_ms=8.0,
-        slow_start_fraction=draw.choice([0.0, 0.2, 1.0]),
-        slow_start_ms=draw.choice([0.0, 9000.0]),
-        overload_multiple=draw.choice([0.0, 1.0, 3.0]),
-        overload_window_ms=draw.choice([0.0, 1500.0]),
+        slow_start_fraction=rng.choice([0.0, 0.2, 1.0]),
+        slow_start_ms=rng.choice([0.0, 9000.0]),
+        overload_multiple=rng.choice([0.0, 1.0, 3.0]),
+        overload_window_ms=rng.choice([0.0, 1500.0]),
     )
 
 
 @dataclass
-class Tried:
-    """One request, and where its attempts went: when, and how they ended."""
+class RequestState:
+    """One request and its attempts: server, send time and verdict, None while in flight."""
 
     cls: api.RequestClass
-    most: int
-    until: float
+    max_attempts: int
+    deadline_at: float
     attempts: list[tuple[api.Server, float, api.Verdict | None]] = field(default_factory=list)
-    over: bool = False
-
-    def risks(self) -> list[tuple[api.Server, float]]:
-        """Attempts that may have run."""
-        return [(to, at) for to, at, how in self.attempts if how is None or not how.never_ran]
-
-
-class Play:
-    """A gateway, and the world around it."""
-
-    def __init__(self, seed: int, retunes: bool) -> None:
-        self.draw, self.now = random.Random(seed), START
-        self.settings = drawn(self.draw)
-        self.made = DecisionEngine(self.settings, seed)
-        self.due: list[tuple[float, int, api.Event | str]] = []
-        self.seen: dict[str, Tried] = {}
-        self.count = self.repeats = self.refused_late = 0
-        self.listed = {one.id: one for one in SERVERS}
-        self.made.handle(START, api.EndpointList(api.ListScope.FULL, tuple(SERVERS)))
+    is_ended: bool = False
+
+    def possible_executions(self) -> list[tuple[api.Server, float]]:
+        """Return the attempts that the server may have executed."""
+        return [
+            (server, sent_at)
+            for server, sent_at, ending in self.attempts
+            if ending is None or not ending.never_ran
+        ]
+
+
+class Simulation:
+    """A gateway with its clients, servers and counter."""
+
+    def __init__(self, seed: int, settings_change: bool) -> None:
+        self.rng, self.now = random.Random(seed), START
+        self.settings = random_settings(self.rng)
+        self.engine = DecisionEngine(self.settings, seed)
+        self.events: list[tuple[float, int, api.Event | str]] = []
+        self.requests: dict[str, RequestState] = {}
+        self.count = self.retry_count = self.late_rejections = 0
+        self.endpoints = {server.id: server for server in SERVERS}
+        self.engine.handle(START, api.EndpointList(api.ListScope.FULL, tuple(SERVERS)))
         for n in range(700):
-            self.later(START + self.draw.uniform(0, 12_000), f"r{n}")
-        for kind in ["retune"] * (12 * retunes) + ["list"] * 40:
-            self.later(START + self.draw.uniform(0, 12_000), kind)
+            self.schedule(START + self.rng.uniform(0, 12_000), f"r{n}")
+        for kind in ["settings"] * (12 * settings_change) + ["list"] * 40:
+            self.schedule(START + self.rng.uniform(0, 12_000), kind)
 
-    def later(self, at: float, what: api.Event | str) -> None:
-        """Something is due."""
+    def schedule(self, at: float, item: api.Event | str) -> None:
+        """Schedule an event, a change or the arrival of a request."""
         self.count += 1
-        heapq.heappush(self.due, (at, self.count, what))
+        heapq.heappush(self.events, (at, self.count, item))
 
     def run(self) -> None:
-        """All that is due, and what follows from it."""
-        while self.due:
-            self.now, _, what = heapq.heappop(self.due)
-            if what == "retune":
-                self.settings = drawn(self.draw)
-                self.made.update_settings(self.settings)
-            elif what == "list":
-                self.change()
-            elif isinstance(what, str):
-                self.arrive(what)
+        """Handle everything that is scheduled, and what follows from it."""
+        while self.events:
+            self.now, _, item = heapq.heappop(self.events)
+            if item == "settings":
+                self.settings = random_settings(self.rng)
+                self.engine.update_settings(self.settings)
+            elif item == "list":
+                self.change_endpoint()
+            elif isinstance(item, str):
+                self.handle_arrival(item)
             else:
-                self.give(what)
-        assert all(one.over for one in self.seen.values())
-
-    def change(self) -> None:
-        """A server drains, comes back, or has started: by its own clock, which may go ahead."""
-        old = self.draw.choice(SERVERS)
-        state = self.draw.choice([api.EndpointState.UP, api.EndpointState.UP, api.EndpointState.DRAINING])
-        start = self.now + self.draw.choice([-3000.0, 0.0, 500.0])
-        self.listed[old.id] = api.Server(old.id, old.zone, old.kind, old.cell, state, 1.0, start)
-        self.give(api.EndpointList(api.ListScope.CHANGES, (self.listed[old.id],)))
-
-    def arrive(self, rid: str) -> None:
-        """A client's try; some leave before their answer."""
-        cls, draw = self.draw.choice(self.settings.classes), self.draw
-        left = cls.deadline_ms * draw.uniform(0.3, 1.0)
-        self.seen[rid] = Tried(cls, self.settings.max_attempts, self.now + left)
-        if draw.random() < 0.1:
-            self.later(self.now + left * draw.random(), api.ClientDisconnected(rid))
-        self.give(
+                self.handle_event(item)
+        assert all(state.is_ended for state in self.requests.values())
+
+    def change_endpoint(self) -> None:
+        """Let a server drain, come back or restart; its start time may lie in the future, by its own clock."""
+        endpoint = self.rng.choice(SERVERS)
+        state = self.rng.choice([api.EndpointState.UP, api.EndpointState.UP, api.EndpointState.DRAINING])
+        start = self.now + self.rng.choice([-3000.0, 0.0, 500.0])
+        self.endpoints[endpoint.id] = api.Server(
+            endpoint.id, endpoint.zone, endpoint.kind, endpoint.cell, state, 1.0, start
+        )
+        self.handle_event(api.EndpointList(api.ListScope.CHANGES, (self.endpoints[endpoint.id],)))
+
+    def handle_arrival(self, request_id: str) -> None:
+        """Send a request of a client; some clients disconnect before the final answer."""
+        cls, rng = self.rng.choice(self.settings.classes), self.rng
+        remaining_ms = cls.deadline_ms * rng.uniform(0.3, 1.0)
+        self.requests[request_id] = RequestState(cls, self.settings.max_attempts, self.now + remaining_ms)
+        if rng.random() < 0.1:
+            self.schedule(self.now + remaining_ms * rng.random(), api.ClientDisconnected(request_id))
+        self.handle_event(
             api.Request(
-                rid,
+                request_id,
                 cls.name,
-                draw.choice(self.settings.plans).name,
-                draw.randrange(6),
-                left,
-                draw.choice([1.0, 4.0]),
-                draw.choice([1, 3, 200]),
+                rng.choice(self.settings.plans).name,
+                rng.randrange(6),
+                remaining_ms,
+                rng.choice([1.0, 4.0]),
+                rng.choice([1, 3, 200]),
             )
         )
 
-    def give(self, event: api.Event) -> None:
-        """One event, and what the gateway does about it."""
+    def handle_event(self, event: api.Event) -> None:
+        """Pass an event to the gateway and execute its actions."""
         if isinstance(event, api.ClientDisconnected):
-            self.seen[event.id].over = True
+            self.requests[event.id].is_ended = True
         if isinstance(event, api.AttemptOutcome):
-            tried = self.seen[event.id]
-            to, at, how = tried.attempts[event.attempt]
-            if how is not None:
-                return  # cancelled before
-            tried.attempts[event.attempt] = to, at, event.verdict
-            tried.over |= event.ended
-        for action in self.made.handle(self.now, event):
-            self.act(action)
-
-    def act(self, action: api.Action) -> None:
-        """Check an action and carry it out."""
-        draw = self.draw
+            state = self.requests[event.id]
+            to, at, ending = state.attempts[event.attempt]
+            if ending is not None:
+                return  # the attempt has been cancelled
+            state.attempts[event.attempt] = to, at, event.verdict
+            state.is_ended |= event.ended
+        for action in self.engine.handle(self.now, event):
+            self.execute(action)
+
+    def execute(self, action: api.Action) -> None:
+        """Check an action and execute it."""
+        rng = self.rng
         match action:
-            case api.SendAttempt(id=rid, server=to, timeout_ms=left):
-                tried, server = self.seen[rid], self.listed[to]
-                self.may_send(tried, server, left)
-                self.repeats += bool(tried.attempts)
-                tried.attempts.append((server, self.now, None))
-                verdict = draw.choice([api.Verdict.OK, api.Verdict.TIMEOUT, *BAD])
-                took = (
-                    left
+            case api.SendAttempt(id=request_id, server=to, timeout_ms=remaining_ms):
+                state, server = self.requests[request_id], self.endpoints[to]
+                self.check_send(state, server, remaining_ms)
+                self.retry_count += bool(state.attempts)
+                state.attempts.append((server, self.now, None))
+                verdict = rng.choice([api.Verdict.OK, api.Verdict.TIMEOUT, *BAD])
+                rtt_ms = (
+                    remaining_ms
                     if verdict is api.Verdict.TIMEOUT
-                    else left * draw.choice([0.0, 0.01, 0.1, draw.random()])
+                    else remaining_ms * rng.choice([0.0, 0.01, 0.1, rng.random()])
                 )
-                done = verdict is api.Verdict.OK
-                self.later(
-                    self.now + took,
+                succeeded = verdict is api.Verdict.OK
+                self.schedule(
+                    self.now + rtt_ms,
                     api.AttemptOutcome(
-                        rid, len(tried.attempts) - 1, to, verdict, took, done, draw.choice([0.0, 1.0, 9.0])
+                        request_id,
+                        len(state.attempts) - 1,
+                        to,
+                        verdict,
+                        rtt_ms,
+                        succeeded,
+                        rng.choice([0.0, 1.0, 9.0]),
                     ),
                 )
-            case api.CancelAttempt(id=rid, attempt=attempt):
-                where, since, how = self.seen[rid].attempts[attempt]
-                assert how is None
-                self.later(
+            case api.CancelAttempt(id=request_id, attempt=attempt):
+                server_tried, sent_at, ending = self.requests[request_id].attempts[attempt]
+                assert ending is None
+                self.schedule(
                     self.now,
                     api.AttemptOutcome(
-                        rid, attempt, where.id, api.Verdict.CANCELLED, self.now - since, False
+                        request_id, attempt, server_tried.id, api.Verdict.CANCELLED, self.now - sent_at, False
                     ),
                 )
-            case api.Reject(id=rid) | api.Fail(id=rid):
-                tried = self.seen[rid]
-                assert not tried.over and self.now <= tried.until + 1e-6
-                assert all(how is not None for _, _, how in tried.attempts)
-                if isinstance(action, api.Reject) and tried.risks():
-                    self.refused_late += 1
-                    assert tried.cls.idempotency is api.Idempotency.IDEMPOTENT or (
-                        tried.cls.idempotency is api.Idempotency.WITH_KEY
-                        and tried.cls.deduplication_scope is api.DeduplicationScope.ALL
+            case api.Reject(id=request_id) | api.Fail(id=request_id):
+                state = self.requests[request_id]
+                assert not state.is_ended and self.now <= state.deadline_at + 1e-6
+                assert all(ending is not None for _, _, ending in state.attempts)
+                if isinstance(action, api.Reject) and state.possible_executions():
+                    self.late_rejections += 1
+                    assert state.cls.idempotency is api.Idempotency.IDEMPOTENT or (
+                        state.cls.idempotency is api.Idempotency.WITH_KEY
+                        and state.cls.deduplication_scope is api.DeduplicationScope.ALL
                     )
-                tried.over = True
+                state.is_ended = True
             case api.SetTimer(at_ms=at, token=token):
-                self.later(max(at, self.now), api.TimerFired(token))
+                self.schedule(max(at, self.now), api.TimerFired(token))
             case api.AddToCounter(name=name):
-                verdict = draw.choice([api.Verdict.OK] * 3 + [api.Verdict.TIMEOUT, api.Verdict.QUEUE_FULL])
-                took = draw.uniform(0, 5)  # the shortest time-out of a call
-                self.later(
-                    self.now + took, api.CounterReply(name, verdict, took, draw.choice([0.0, 3.0, 60.0]))
+                verdict = rng.choice([api.Verdict.OK] * 3 + [api.Verdict.TIMEOUT, api.Verdict.QUEUE_FULL])
+                rtt_ms = rng.uniform(0, 5)  # up to the shortest timeout of a call
+                self.schedule(
+                    self.now + rtt_ms, api.CounterReply(name, verdict, rtt_ms, rng.choice([0.0, 3.0, 60.0]))
                 )
 
-    def may_send(self, tried: Tried, server: api.Server, left: float) -> None:
-        """The rule's words on a further send, and what holds for any."""
-        assert not tried.over and len(tried.attempts) < tried.most and self.now + left <= tried.until + 1e-6
+    def check_send(self, state: RequestState, server: api.Server, remaining_ms: float) -> None:
+        """Check the rules for any attempt, and those for a retry."""
+        assert (
+            not state.is_ended
+            and len(state.attempts) < state.max_attempts
+            and self.now + remaining_ms <= state.deadline_at + 1e-6
+        )
         assert server.state is api.EndpointState.UP
-        assert all(how is not None for _, _, how in tried.attempts)  # never two out
-        if tried.cls.idempotency is api.Idempotency.IDEMPOTENT or not (risks := tried.risks()):
+        assert all(ending is not None for _, _, ending in state.attempts)  # at most one in flight
+        if state.cls.idempotency is api.Idempotency.IDEMPOTENT or not (
+            possible_executions := state.possible_executions()
+        ):
             return
-        assert tried.cls.idempotency is api.Idempotency.WITH_KEY
-        for first, at in risks:
-            assert self.now < at + tried.cls.deduplication_window_ms
+        assert state.cls.idempotency is api.Idempotency.WITH_KEY
+        for first, at in possible_executions:
+            assert self.now < at + state.cls.deduplication_window_ms
             assert (
-                tried.cls.deduplication_scope is not api.DeduplicationScope.ZONE or server.zone == first.zone
+                state.cls.deduplication_scope is not api.DeduplicationScope.ZONE or server.zone == first.zone
             )
             assert (
-                tried.cls.deduplication_scope is not api.DeduplicationScope.CELL or server.cell == first.cell
+                state.cls.deduplication_scope is not api.DeduplicationScope.CELL or server.cell == first.cell
             )
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_rule_2_holds_for_any_mix_of_settings(seed: int) -> None:
-    play = Play(seed, False)
-    play.run()
-    assert play.repeats
+def test_retries_respect_idempotency_with_any_settings(seed: int) -> None:
+    simulation = Simulation(seed, False)
+    simulation.run()
+    assert simulation.retry_count
 
 
 @pytest.mark.parametrize("seed", [*range(6), 117, 143])
-def test_new_settings_raise_nothing_and_harm_no_open_request_or_quota(seed: int) -> None:
-    """A quota that was lifted while units were to be told came back as one that let all through: 0 x inf."""
-    play = Play(seed, True)
-    play.run()
-    assert play.repeats
-    for customer_quota in play.made._quota._quotas.values():
+def test_new_settings_raise_no_error_and_keep_pending_requests_and_quotas_valid(seed: int) -> None:
+    """A quota that was removed with unreported units and restored later conformed always: its TAT was 0 * inf."""
+    simulation = Simulation(seed, True)
+    simulation.run()
+    assert simulation.retry_count
+    for customer_quota in simulation.engine._quota._quotas.values():
         assert all(
-            math.isfinite(one.tat)
-            for one in (customer_quota.bucket, customer_quota.own_bucket, customer_quota.headroom_bucket)
-            if one
+            math.isfinite(bucket.tat)
+            for bucket in (customer_quota.bucket, customer_quota.own_bucket, customer_quota.headroom_bucket)
+            if bucket
         )
 
 
-def test_a_quota_that_was_lifted_while_units_are_to_be_told_holds_again_when_it_is_back() -> None:
-    """The others' units came to 0 x inf at the answer, and all passed from then on."""
+def test_a_quota_removed_with_unreported_units_holds_again_when_it_is_restored() -> None:
+    """At the counter's reply, the units of other gateways became 0 * inf, and every later request conformed."""
     plan, free = api.Plan("plain", rate=1.0, burst=8.0), api.Plan("plain")
-    made, totals = gateway(plans=(plan,)), dict[int, float]()
-    admit(made, START, request("r0"), totals)
-    made._quota._call_probability = (
-        0.3  # the counter is crowded: what has room goes unheard, and is told later
+    engine, totals = gateway(plans=(plan,)), dict[int, float]()
+    admit(engine, START, request("r0"), totals)
+    engine._quota._call_probability = (
+        0.3  # the counter is congested: requests with spare capacity are sent unconfirmed and reported later
     )
-    [flush] = [
-        one for one in only(made.handle(START + 1, request("r1")), api.SetTimer) if one.at_ms > START + 3000
+    [report_timer] = [
+        timer
+        for timer in only(engine.handle(START + 1, request("r1")), api.SetTimer)
+        if timer.at_ms > START + 3000
     ]
-    made.update_settings(replace(made._settings, plans=(free,)))
-    admit(made, START + 2, request("r2"), totals)
+    engine.update_settings(replace(engine._settings, plans=(free,)))
+    admit(engine, START + 2, request("r2"), totals)
     answer(
-        made,
-        flush.at_ms,
-        only(made.handle(flush.at_ms, api.TimerFired(flush.token)), api.AddToCounter),
+        engine,
+        report_timer.at_ms,
+        only(engine.handle(report_timer.at_ms, api.TimerFired(report_timer.token)), api.AddToCounter),
         totals,
     )
-    made.update_settings(replace(made._settings, plans=(plan,)))
+    engine.update_settings(replace(engine._settings, plans=(plan,)))
     sent = 0
     for n in range(60):
-        now = flush.at_ms + 1 + n
-        for send in only(admit(made, now, request(f"x{n}"), totals), api.SendAttempt):
+        now = report_timer.at_ms + 1 + n
+        for send in only(admit(engine, now, request(f"x{n}"), totals), api.SendAttempt):
             sent += 1
-            made.handle(now, outcome(send, api.Verdict.OK, rtt=1.0))
+            engine.handle(now, outcome(send, api.Verdict.OK, rtt=1.0))
     assert sent <= plan.burst + 1
 
 
-def test_a_fleet_that_grows_saves_up_no_more_retries() -> None:
-    """200 gateways that were 3 at their start kept what 3 may save: 2,867 retries in place of 240."""
+def test_the_retry_budget_shrinks_when_the_fleet_grows() -> None:
+    """200 gateways, 3 at their start, kept the retry budget of one of 3: 2,867 retries instead of 240."""
 
-    def retries(gateways: int, then: int) -> int:
-        made = gateway(gateway_count=gateways, plans=(api.Plan("plain"),), classes=(SAFE,))
-        made.update_settings(replace(made._settings, gateway_count=then))
-        got = 0
+    def retries(gateways: int, new_gateways: int) -> int:
+        engine = gateway(gateway_count=gateways, plans=(api.Plan("plain"),), classes=(SAFE,))
+        engine.update_settings(replace(engine._settings, gateway_count=new_gateways))
+        total = 0
         for n in range(60):
-            [send] = only(made.handle(START + 50 * n, request(f"r{n}")), api.SendAttempt)
-            made.handle(START + 50 * n + 20, outcome(send, api.Verdict.OK, rtt=20.0))
+            [send] = only(engine.handle(START + 50 * n, request(f"r{n}")), api.SendAttempt)
+            engine.handle(START + 50 * n + 20, outcome(send, api.Verdict.OK, rtt=20.0))
         for n in range(40):
             now = START + 3000 + 50 * n
-            attempt, sends = 0, only(made.handle(now, request(f"x{n}")), api.SendAttempt)
+            attempt, sends = 0, only(engine.handle(now, request(f"x{n}")), api.SendAttempt)
             while sends:
                 sends = only(
-                    made.handle(now, outcome(sends[0], api.Verdict.CONNECT_FAILED, attempt)), api.SendAttempt
+                    engine.handle(now, outcome(sends[0], api.Verdict.CONNECT_FAILED, attempt)),
+                    api.SendAttempt,
                 )
                 attempt += 1
-            got += max(attempt - 1, 0)
-        return got
+            total += max(attempt - 1, 0)
+        return total
 
     assert retries(3, 200) == retries(200, 200) < retries(3, 3)
 
 
-def test_a_known_customer_of_a_fleet_that_grows_is_sent_on_unheard_by_the_new_part() -> None:
-    """Each of 150 gateways kept a third of the quota, as one of three, while the counter was silent."""
+def test_unconfirmed_sends_of_a_known_customer_follow_the_new_share_when_the_fleet_grows() -> None:
+    """Each of 150 gateways kept a third of the quota, as one of three, while the counter did not reply."""
     plan = api.Plan("plain", rate=10.0, burst=60.0)
 
-    def sent(gateways: int, then: int) -> int:
-        made, got = gateway(gateway_count=gateways, plans=(plan,), has_counter=False), 0
-        made.handle(START, request("r0", spread=gateways))
-        made.update_settings(replace(made._settings, gateway_count=then, plans=(replace(plan),)))
+    def sent(gateways: int, new_gateways: int) -> int:
+        engine, total = gateway(gateway_count=gateways, plans=(plan,), has_counter=False), 0
+        engine.handle(START, request("r0", spread=gateways))
+        engine.update_settings(replace(engine._settings, gateway_count=new_gateways, plans=(replace(plan),)))
         for n in range(100):
-            for send in only(made.handle(START + 10 + n, request(f"x{n}", spread=then)), api.SendAttempt):
-                got += 1
-                made.handle(START + 10 + n, outcome(send, api.Verdict.OK, rtt=1.0))
-        return got
+            for send in only(
+                engine.handle(START + 10 + n, request(f"x{n}", spread=new_gateways)), api.SendAttempt
+            ):
+                total += 1
+                engine.handle(START + 10 + n, outcome(send, api.Verdict.OK, rtt=1.0))
+        return total
 
     assert sent(3, 150) <= sent(150, 150) + 1 < sent(3, 3)
 
 
-@pytest.mark.parametrize("aim", [200.0, 3000.0])
-def test_who_meets_the_limit_of_attempts_out_is_told_to_wait_by_the_aim(aim: float) -> None:
-    """It was 100 ms at every customer's."""
-    made = gateway(
+@pytest.mark.parametrize("objective_ms", [200.0, 3000.0])
+def test_retry_after_at_the_concurrency_limit_follows_the_latency_objective(objective_ms: float) -> None:
+    """It was 100 ms for all settings."""
+    engine = gateway(
         plans=(api.Plan("plain", 100.0, 100.0, concurrency_limit=1),),
         has_counter=False,
-        classes=(replace(SAFE, latency_objective_ms=aim),),
+        classes=(replace(SAFE, latency_objective_ms=objective_ms),),
     )
-    assert len(only(made.handle(START, request("r0")), api.SendAttempt)) == 1
-    assert made.handle(START + 1, request("r1")) == [api.Reject("r1", 0.1 * aim)]
+    assert len(only(engine.handle(START, request("r0")), api.SendAttempt)) == 1
+    assert engine.handle(START + 1, request("r1")) == [api.Reject("r1", 0.1 * objective_ms)]
