--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -1,5 +1,4 @@
-"""Settings of any customer: what cannot be gone by names its key, at the start and at SIGHUP; the rest is
-taken."""
+"""Settings of any customer: an error names the key of an invalid setting, at the start and at SIGHUP."""
 
 from __future__ import annotations
 
@@ -26,10 +25,10 @@
 from tests.gateway.test_reload import at
 from tests.support.paths import ROOT
 from tests.support.running import ask, until
-from tests.support.running import run_test as play
+from tests.support.running import run_test as run_async
 from tests.support.stand_ins import HOST, NOW_MS, Backend, Discovery, config, entry, query, roster
 
-# Every key of the page, with another customer's figures; each kind of class and plan that there can be.
+# Every documented key, with values of another customer; every kind of request class and plan.
 FULL: dict[str, Any] = {
     "charges": {key: 0.01 for key in KNOWN_KEYS["charges"].split()},
     "classes": [
@@ -162,7 +161,7 @@
     "zone": "south",
     "zones": ["north", "east", "south", "west"],
 }
-# What the program has no use for is not looked at, and so cannot keep a gateway from its work.
+# Keys that the program does not use are not checked, so that their values cannot prevent a gateway's start.
 UNUSED = {
     f"{section}.{key}".lstrip(".")
     for section, keys in {
@@ -175,8 +174,8 @@
     }.items()
     for key in keys.split()
 }
-# Absent, they say that there is no such thing: a ceiling, worth after the aim.
-MAY_LACK = {"classes.late_share", "contracts.hard_rate", "contracts.cap_depth", "contracts.tolerance"}
+# Keys that may be absent, which disables a feature: a ceiling, a value of late responses.
+OPTIONAL = {"classes.late_share", "contracts.hard_rate", "contracts.cap_depth", "contracts.tolerance"}
 USED = sorted(
     {f"{section}.{key}".lstrip(".") for section, keys in KNOWN_KEYS.items() for key in keys.split()} - UNUSED
 )
@@ -191,19 +190,21 @@
 }
 
 
-def placed(path: str) -> str:
-    """The path with the entry of a list that uses the key: the keyed class with a zone, the plan with a
-    ceiling."""
+def entry_path(path: str) -> str:
+    """Return the path with the index of a list entry that uses the key.
+
+    That is the class with a key and a zone, or the plan with a ceiling.
+    """
     section, _, key = path.partition(".")
     return f"{section}.1.{key}" if key and section in ("classes", "contracts") else path
 
 
-def told(path: str) -> str:
-    """As a message names it."""
-    return "setting " + placed(path).replace(".1.", "[1].") + ":"
+def error_prefix(path: str) -> str:
+    """Return the start of an error message about the setting."""
+    return "setting " + entry_path(path).replace(".1.", "[1].") + ":"
 
 
-def read(folder: Path, settings: Any, again: bool = False) -> Config:
+def read_settings_file(folder: Path, settings: Any, is_reload: bool = False) -> Config:
     file = folder / "config.json"
     file.write_text(
         json.dumps(
@@ -216,35 +217,47 @@
             }
         )
     )
-    return read_config({"LB_CONFIG": str(file)}, folder, again)
+    return read_config({"LB_CONFIG": str(file)}, folder, is_reload)
 
 
 @pytest.mark.parametrize("path", USED)
-def test_a_setting_that_is_missing_or_of_the_wrong_form_is_named(path: str, tmp_path: Path) -> None:
-    wrong: list[Any] = [[], {}, [1], 5 if path in TEXTS else "5", math.nan, math.inf, -1.0, -0.001, 1e308]
+def test_the_error_names_a_setting_that_is_missing_or_of_the_wrong_type(path: str, tmp_path: Path) -> None:
+    invalid_values: list[Any] = [
+        [],
+        {},
+        [1],
+        5 if path in TEXTS else "5",
+        math.nan,
+        math.inf,
+        -1.0,
+        -0.001,
+        1e308,
+    ]
     if path in ("family_info.has_counter", "policy_limits.cancelling"):
-        wrong += [2, "true"]
+        invalid_values += [2, "true"]
     elif path not in ("classes", "contracts"):
-        wrong += [True]
-    for again in (False, True):
-        for value in wrong:
+        invalid_values += [True]
+    for is_reload in (False, True):
+        for value in invalid_values:
             if path in ("feedback.fields", "contracts") and value == []:
-                read(tmp_path, at(FULL, path, value), again)
-                continue  # reports that name nothing; nobody has a plan
+                read_settings_file(tmp_path, at(FULL, path, value), is_reload)
+                continue  # valid: load reports without fields, no plans
             with pytest.raises(ConfigError) as caught:
-                read(tmp_path, at(FULL, placed(path), value), again)
-            fault = str(caught.value)  # of an object or a list it may be a key inside
+                read_settings_file(tmp_path, at(FULL, entry_path(path), value), is_reload)
+            error_text = str(caught.value)  # for an object or a list, it may name a key inside
             assert (
-                fault.startswith(told(path)[:-1]) and fault[len(told(path)) - 1] in ":.[" and len(fault) < 250
+                error_text.startswith(error_prefix(path)[:-1])
+                and error_text[len(error_prefix(path)) - 1] in ":.["
+                and len(error_text) < 250
             )
-        without = at(FULL, placed(path))
-        if path in MAY_LACK:
+        settings_without_key = at(FULL, entry_path(path))
+        if path in OPTIONAL:
             if path != "contracts.cap_depth":
-                read(tmp_path, without, again)
+                read_settings_file(tmp_path, settings_without_key, is_reload)
         else:
             with pytest.raises(ConfigError) as caught:
-                read(tmp_path, without, again)
-            assert str(caught.value) == f"{told(path)} missing"
+                read_settings_file(tmp_path, settings_without_key, is_reload)
+            assert str(caught.value) == f"{error_prefix(path)} missing"
 
 
 @pytest.mark.parametrize(
@@ -291,60 +304,69 @@
         ("classes.name", "x" * 300),
     ],
 )
-def test_a_setting_out_of_its_range_is_named(path: str, value: object, tmp_path: Path) -> None:
+def test_the_error_names_a_setting_out_of_its_range(path: str, value: object, tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as caught:
-        read(tmp_path, at(FULL, placed(path), value))
-    assert str(caught.value).startswith(told(path)) and len(str(caught.value)) < 250
+        read_settings_file(tmp_path, at(FULL, entry_path(path), value))
+    assert str(caught.value).startswith(error_prefix(path)) and len(str(caught.value)) < 250
 
 
-def test_settings_of_another_customer_are_taken_as_they_are(tmp_path: Path) -> None:
-    made = read(tmp_path, FULL)
+def test_settings_of_another_customer_are_parsed(tmp_path: Path) -> None:
+    parsed = read_settings_file(tmp_path, FULL)
     assert [
         (c.idempotency.name, c.deduplication_scope.name, c.deduplication_window_ms)
-        for c in made.settings.classes
+        for c in parsed.settings.classes
     ] == [
         ("IDEMPOTENT", "ALL", 5000.0),
         ("WITH_KEY", "ZONE", 5000.0),
         ("WITH_KEY", "CELL", 600.0),
         ("NOT_IDEMPOTENT", "ALL", 0.0),
     ]
-    assert made.settings.plans[2] == api.Plan("open-only", concurrency_limit=5, over_quota_cost=0.5)
-    assert (made.settings.must_subscribe, made.settings.poll_within_ms, made.settings.gateway_index) == (
+    assert parsed.settings.plans[2] == api.Plan("open-only", concurrency_limit=5, over_quota_cost=0.5)
+    assert (
+        parsed.settings.must_subscribe,
+        parsed.settings.poll_within_ms,
+        parsed.settings.gateway_index,
+    ) == (
         True,
         8000.0,
         4,
     )
-    assert (made.connect_ms, made.idle_ms, made.report_names) == (400.0, 45_000.0, ("q", "busy"))
-    other = at(at(at(FULL, "feedback.how", "probe"), "family_info.has_counter", False), "zone", "")
-    made = read(tmp_path, at(other, "tiers", ["front", "middle", "back"]))
-    assert (made.report_names, made.settings.has_counter, made.settings.zone) == ((), False, "")
-    assert made.settings.counter_timeout_ms == 0.0
+    assert (parsed.connect_ms, parsed.idle_ms, parsed.report_names) == (400.0, 45_000.0, ("q", "busy"))
+    changed_settings = at(at(at(FULL, "feedback.how", "probe"), "family_info.has_counter", False), "zone", "")
+    parsed = read_settings_file(tmp_path, at(changed_settings, "tiers", ["front", "middle", "back"]))
+    assert (parsed.report_names, parsed.settings.has_counter, parsed.settings.zone) == ((), False, "")
+    assert parsed.settings.counter_timeout_ms == 0.0
     assert (
-        read(tmp_path, at(at(other, "zones", []), "discovery", "automatic")).settings.must_subscribe is False
+        read_settings_file(
+            tmp_path, at(at(changed_settings, "zones", []), "discovery", "automatic")
+        ).settings.must_subscribe
+        is False
     )
-    assert read(tmp_path, at(at(other, "zones", []), "zone")).settings.zone == ""  # a site without zones
+    assert (
+        read_settings_file(tmp_path, at(at(changed_settings, "zones", []), "zone")).settings.zone == ""
+    )  # a site without zones
 
 
-def test_a_key_that_no_page_names_is_told_and_no_fault(
+def test_an_undocumented_key_is_logged_and_is_not_an_error(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     assert unknown_keys(FULL) == []
-    strange = at(at(at(FULL, "clases", []), "classes.1.windows_ms", 1), "rules.fall_times", 2)
+    with_unknown_keys = at(at(at(FULL, "clases", []), "classes.1.windows_ms", 1), "rules.fall_times", 2)
     caplog.set_level(logging.WARNING)
-    assert read(tmp_path, strange).settings == parse_settings(FULL)
+    assert read_settings_file(tmp_path, with_unknown_keys).settings == parse_settings(FULL)
     assert caplog.messages == [
         "settings unknown to this program: clases, classes.windows_ms, rules.fall_times"
     ]
     caplog.clear()
-    read(tmp_path, {**FULL, **{f"odd-{n}" * 40: n for n in range(10_000)}})
+    read_settings_file(tmp_path, {**FULL, **{f"odd-{n}" * 40: n for n in range(10_000)}})
     assert len(caplog.messages) == 1 and len(caplog.messages[0]) < 2000
 
 
-def test_a_process_with_a_faulty_file_ends_with_one_line(tmp_path: Path) -> None:
+def test_a_process_with_an_invalid_file_exits_with_one_line(tmp_path: Path) -> None:
     for path, value in (("classes.slo_ms", 0), ("feedback.fields", 5)):
         with pytest.raises(ConfigError):
-            read(tmp_path, at(FULL, placed(path), value))
-        ended = subprocess.run(
+            read_settings_file(tmp_path, at(FULL, entry_path(path), value))
+        completed = subprocess.run(
             [sys.executable, "-m", "badgeryoke"],
             cwd=ROOT,
             capture_output=True,
@@ -352,40 +374,45 @@
             check=False,
             env={**os.environ, "LB_CONFIG": str(tmp_path / "config.json")},
         )
-        assert ended.returncode == 1 and ended.stderr.startswith(
-            f"badgeryoke: configuration: {told(path)} expected"
+        assert completed.returncode == 1 and completed.stderr.startswith(
+            f"badgeryoke: configuration: {error_prefix(path)} expected"
         )
-        assert ended.stderr.count("\n") == 1
+        assert completed.stderr.count("\n") == 1
 
 
-def test_a_faulty_file_at_sighup_costs_nobody_an_answer(
+def test_no_request_is_lost_by_an_invalid_file_at_sighup(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """The files come in a row over one gateway, which serves on by the settings it has."""
-    faulty = [copy.deepcopy(FULL) for _ in range(3)]
-    faulty[0]["feedback"]["fields"] = 7
-    faulty[1]["classes"][0]["slo_ms"] = 0
-    faulty[2]["contracts"] = {}
+    """One gateway gets several invalid files in a row and keeps serving with its current settings."""
+    invalid_files = [copy.deepcopy(FULL) for _ in range(3)]
+    invalid_files[0]["feedback"]["fields"] = 7
+    invalid_files[1]["classes"][0]["slo_ms"] = 0
+    invalid_files[2]["contracts"] = {}
 
     async def test() -> None:
-        async with Backend() as node, Discovery(entry("a", node.port)) as list_:
-            made = config(list_.port, None, roster(entry("a", node.port)))
-            app = GatewayApplication(made, lambda: NOW_MS, lambda: read(tmp_path, faulty.pop(0), True))
+        async with Backend() as node, Discovery(entry("a", node.port)) as discovery:
+            gateway_config = config(discovery.port, None, roster(entry("a", node.port)))
+            app = GatewayApplication(
+                gateway_config,
+                lambda: NOW_MS,
+                lambda: read_settings_file(tmp_path, invalid_files.pop(0), True),
+            )
             running = asyncio.ensure_future(app.run())
             await until(lambda: app.parts.discovery.ready)
-            while left := len(faulty):
+            while remaining := len(invalid_files):
                 os.kill(os.getpid(), signal.SIGHUP)
                 await until(
                     lambda: (
-                        app.parts.dispatcher.metrics.reload_errors + len(faulty) == 3 and len(faulty) < left
+                        app.parts.dispatcher.metrics.reload_errors + len(invalid_files) == 3
+                        and len(invalid_files) < remaining
                     )
                 )
-                assert await ask(app, query(f"q{left}")) == [b"value"]
+                assert await ask(app, query(f"q{remaining}")) == [b"value"]
             app.end()
             await running
 
     caplog.set_level(logging.ERROR)
-    play(test)
+    run_async(test)
     assert [message.split(": expected")[0] for message in caplog.messages] == [
         f"reload: configuration: setting {key}"
         for key in ("feedback.fields", "classes[0].slo_ms", "contracts")
