--- a/tests/gateway/test_golden_settings.py
+++ b/tests/gateway/test_golden_settings.py
@@ -15,7 +15,7 @@
 from badgeryoke.gateway.config.operators_file import OperatorsError, read_operators
 from badgeryoke.gateway.config.platform_file import read_config
 from badgeryoke.gateway.discovery.endpoint_list import read_endpoint_snapshot
-from tests.decisions.test_settings_parser import FULL, USED, placed
+from tests.decisions.test_settings_parser import FULL, USED, entry_path
 from tests.gateway.test_reload import at
 from tests.support.golden_files import assert_golden, text_lines
 from tests.support.stand_ins import entry
@@ -86,7 +86,7 @@
 
 def settings_told() -> list[str]:
     """Of the settings: each key that is used, and keys that no page names."""
-    lines = [line for path in USED for line in about(placed(path), FULL, VALUES, parse_settings)]
+    lines = [line for path in USED for line in about(entry_path(path), FULL, VALUES, parse_settings)]
     doubled = copy.deepcopy(FULL)
     doubled["classes"][1]["name"] = doubled["classes"][0]["name"]
     lines.append(f"classes, a name twice: {outcome(lambda: parse_settings(doubled))}")
