--- a/tests/decisions/test_golden_simulator_wire.py
+++ b/tests/decisions/test_golden_simulator_wire.py
@@ -1,5 +1,4 @@
-"""The simulator's text wire: a golden conversation of all kinds of lines, and the exact bytes that answer
-it."""
+"""The simulator's text protocol: a golden conversation with every kind of line, and the exact replies."""
 
 from __future__ import annotations
 
@@ -32,8 +31,8 @@
     "Canceled",
     "Ignored",
 )
-# Messages of every kind that come once, by the number of their batch.
-SPECIAL = {
+# Messages that are sent once, by the number of their batch.
+ADDITIONAL_LINES = {
     20: [
         "TABLE roster_id=1 entries=1",
         "BACKEND backend=33 zone=south kind=slim cohort=2 condition=U size=0.5 born_ms=9700.0",
@@ -70,47 +69,47 @@
 
 
 def conversation(replies: io.StringIO) -> Iterator[str]:
-    """The lines of the simulator, drawn by chance and by what has been answered so far."""
-    draw = random.Random(SEED)
-    answered = 0
+    """Return the simulator's lines, which depend on random numbers and on the replies so far."""
+    rng = random.Random(SEED)
+    reply_length = 0
     attempts: dict[tuple[str, str], int] = {}
     for number in range(BATCHES):
         lines = [f"BATCH t_ms={9000 + BATCH_MS * number}"]
         if number == 0:
             lines += [*up("door/0"), up("door/0")[-1].replace("door/0", "door/1")]
             lines.insert(1, f"UP door=door/1 init_seed=3 params={json.dumps(FULL)}")
-        lines += SPECIAL.get(number, [])
-        replied = replies.getvalue()
-        for line in replied[answered:].splitlines():
-            lines += reaction(draw, line, attempts)
-        answered = len(replied)
-        lines += [arrival(draw, number, place) for place in range(draw.choice((0, 1, 1, 2)))]
+        lines += ADDITIONAL_LINES.get(number, [])
+        reply_text = replies.getvalue()
+        for line in reply_text[reply_length:].splitlines():
+            lines += lines_after_reply(rng, line, attempts)
+        reply_length = len(reply_text)
+        lines += [query_line(rng, number, position) for position in range(rng.choice((0, 1, 1, 2)))]
         lines.append("YOUR_TURN")
         yield from (f"{line}\n" for line in lines)
 
 
-def arrival(draw: random.Random, number: int, place: int) -> str:
-    """One query."""
-    door = draw.choice(DOORS)
-    customer = draw.randrange(6)
+def query_line(rng: random.Random, number: int, position: int) -> str:
+    """Return one QUERY line."""
+    door = rng.choice(DOORS)
+    customer = rng.randrange(6)
     plans = PLANS[door]
-    retry = draw.choice(("", " retry=1"))
+    retry = rng.choice(("", " retry=1"))
     return (
-        f"QUERY caller={customer} door={door} rid={number:08x}{place:08x} cls={draw.choice(CLASSES[door])} "
-        f"grade_of_service={plans[customer % len(plans)]} remaining_ms={draw.choice((250.0, 900.0, 2500.0))} "
-        f"cost_units={draw.choice((0.5, 1, 2.5))} spread=2 from_no={customer % 2}{retry}"
+        f"QUERY caller={customer} door={door} rid={number:08x}{position:08x} cls={rng.choice(CLASSES[door])} "
+        f"grade_of_service={plans[customer % len(plans)]} remaining_ms={rng.choice((250.0, 900.0, 2500.0))} "
+        f"cost_units={rng.choice((0.5, 1, 2.5))} spread=2 from_no={customer % 2}{retry}"
     )
 
 
-def reaction(draw: random.Random, line: str, attempts: dict[tuple[str, str], int]) -> list[str]:
-    """What comes of one line of a reply."""
+def lines_after_reply(rng: random.Random, line: str, attempts: dict[tuple[str, str], int]) -> list[str]:
+    """Return the simulator's lines that follow one line of a reply."""
     name, *words = line.split()
     fields = dict(word.split("=", 1) for word in words if "=" in word)
     door = fields.get("door", "")
     if name == "POST_AMOUNT":
-        verdict = draw.choice(("Ok", "Ok", "Ok", "Ok", "TimedOut", "QueueFull"))
+        verdict = rng.choice(("Ok", "Ok", "Ok", "Ok", "TimedOut", "QueueFull"))
         return [
-            f"TOTAL door={door} cname={fields['cname']} result_value={draw.uniform(0, 5):.3f} rtt_ms=2.15 "
+            f"TOTAL door={door} cname={fields['cname']} result_value={rng.uniform(0, 5):.3f} rtt_ms=2.15 "
             f"verdict={verdict}"
         ]
     if name == "SET_ALARM":
@@ -121,39 +120,41 @@
         ]
     if name != "HAND_OFF":
         return []
-    rid = fields["rid"]
-    hop = attempts.get((door, rid), 0)
-    attempts[door, rid] = hop + 1
-    chance = draw.random()
-    if chance < 0.05:
-        return [f"LAPSED door={door} rid={rid}"]
-    verdict = draw.choice(VERDICTS)
-    begun = [f"STARTED door={door} rid={rid}"] if chance < 0.1 and verdict == "Ok" else []
+    request_id = fields["rid"]
+    hop = attempts.get((door, request_id), 0)
+    attempts[door, request_id] = hop + 1
+    random_value = rng.random()
+    if random_value < 0.05:
+        return [f"LAPSED door={door} rid={request_id}"]
+    verdict = rng.choice(VERDICTS)
+    response_started = (
+        [f"STARTED door={door} rid={request_id}"] if random_value < 0.1 and verdict == "Ok" else []
+    )
     return [
-        *begun,
-        f"COMPLETED door={door} rid={rid} hop={hop} backend={fields['backend']} verdict={verdict} "
-        f"rtt_ms={draw.expovariate(1 / 90):.3f} ended={int(verdict == 'Ok')} final_units=1 server_stats=3,0.5",
+        *response_started,
+        f"COMPLETED door={door} rid={request_id} hop={hop} backend={fields['backend']} verdict={verdict} "
+        f"rtt_ms={rng.expovariate(1 / 90):.3f} ended={int(verdict == 'Ok')} final_units=1 server_stats=3,0.5",
     ]
 
 
-def spoken() -> tuple[str, str]:
-    """The whole conversation: the simulator's lines, and the replies."""
+def run_conversation() -> tuple[str, str]:
+    """Run the whole conversation; returns the simulator's lines and the replies."""
     replies = io.StringIO()
-    said: list[str] = []
+    sent_lines: list[str] = []
 
-    def overheard() -> Iterator[str]:
+    def record_lines() -> Iterator[str]:
         for line in conversation(replies):
-            said.append(line)
+            sent_lines.append(line)
             yield line
 
-    serve(cast(TextIO, overheard()), replies)
-    return "".join(said), replies.getvalue()
+    serve(cast(TextIO, record_lines()), replies)
+    return "".join(sent_lines), replies.getvalue()
 
 
-def test_the_conversation_is_the_golden_one() -> None:
-    said, replied = spoken()
-    assert_golden(INPUT, said.encode())
-    assert_golden(REPLIES, replied.encode())
+def test_the_conversation_equals_the_golden_one() -> None:
+    sent_lines, reply_text = run_conversation()
+    assert_golden(INPUT, sent_lines.encode())
+    assert_golden(REPLIES, reply_text.encode())
 
 
 def test_the_golden_lines_get_the_golden_replies() -> None:
@@ -163,8 +164,8 @@
 
 
 def test_the_conversation_has_every_kind_of_line() -> None:
-    said = {line.split(" ")[0] for line in golden(INPUT).decode().splitlines() if line}
-    assert said == {
+    sent_names = {line.split(" ")[0] for line in golden(INPUT).decode().splitlines() if line}
+    assert sent_names == {
         "BATCH",
         "YOUR_TURN",
         "UP",
@@ -181,8 +182,17 @@
         "PONG",
         "PEER_DATA",
     }
-    replied = {line.split(" ")[0] for line in golden(REPLIES).decode().splitlines()}
-    assert replied >= {"HAND_OFF", "BOUNCE", "ABORT", "POST_AMOUNT", "SET_ALARM", "LISTEN", "DIE", "READY"}
+    reply_names = {line.split(" ")[0] for line in golden(REPLIES).decode().splitlines()}
+    assert reply_names >= {
+        "HAND_OFF",
+        "BOUNCE",
+        "ABORT",
+        "POST_AMOUNT",
+        "SET_ALARM",
+        "LISTEN",
+        "DIE",
+        "READY",
+    }
 
 
 # Single lines -----------------------------------------------------------------------------------------
@@ -210,7 +220,7 @@
 TOTAL = "TOTAL door=door/0 cname=1 verdict=Ok rtt_ms=1 result_value=1"
 UPDATE = "UPDATE door=door/0 scope=total roster_id=0"
 PONG = "PONG door=door/0 backend=11 verdict=Ok rtt_ms=1 server_stats=1"
-WHOLE = (
+VALID = (
     QUERY,
     COMPLETED,
     TOTAL,
@@ -222,7 +232,7 @@
     "DETACH door=door/0",
     "UP door=door/0 init_seed=1 params={}",
 )
-FAULTY = (
+MALFORMED = (
     "NONSENSE door=door/0",
     "QUERY rid",
     "UP door=door/0 init_seed=1 params=[]",
@@ -239,34 +249,34 @@
 
 
 def variants(line: str) -> Iterator[str]:
-    """The line without each of its fields, and with each one's value spoilt."""
+    """Return the line with each of its fields left out, and with each of its values made invalid."""
     name, *fields = line.split(" ")
-    for place, field in enumerate(fields):
-        others = fields[:place] + fields[place + 1 :]
-        yield " ".join([name, *others])
-        yield " ".join([name, *others, f"{field.partition('=')[0]}={WRONG_VALUE}"])
+    for position, field in enumerate(fields):
+        other_fields = fields[:position] + fields[position + 1 :]
+        yield " ".join([name, *other_fields])
+        yield " ".join([name, *other_fields, f"{field.partition('=')[0]}={WRONG_VALUE}"])
 
 
-def answer_to(line: str) -> str:
-    """What one line gets from an instance that is up: its reply, or the fault that ends the process."""
+def reply_to(line: str) -> str:
+    """Return the reply of a started gateway to one line, or the error that ends the process."""
     replies = io.StringIO()
-    before = "\n".join(["BATCH t_ms=9000", *up("door/0")])
+    setup_lines = "\n".join(["BATCH t_ms=9000", *up("door/0")])
     try:
-        serve(io.StringIO(f"{before}\n{line}\nYOUR_TURN\n"), replies)
-    except WireError as fault:
-        return str(fault)
+        serve(io.StringIO(f"{setup_lines}\n{line}\nYOUR_TURN\n"), replies)
+    except WireError as error:
+        return str(error)
     return " | ".join(replies.getvalue().splitlines())
 
 
-def lines_told() -> list[str]:
-    """Every action as a line, and what spoilt lines get."""
+def golden_lines() -> list[str]:
+    """Return every action as a line, and malformed lines with their replies."""
     written = [write_action("door/0", action) for action in ACTIONS]
-    spoilt = [*FAULTY, *(variant for line in WHOLE for variant in variants(line))]
-    return [*written, *(f"{line} -> {answer_to(line)}" for line in spoilt)]
+    malformed = [*MALFORMED, *(variant for line in VALID for variant in variants(line))]
+    return [*written, *(f"{line} -> {reply_to(line)}" for line in malformed)]
 
 
-def test_every_action_and_every_fault_has_its_golden_line() -> None:
-    assert_golden(LINES, text_lines(lines_told()))
+def test_every_action_and_every_error_equals_its_golden_line() -> None:
+    assert_golden(LINES, text_lines(golden_lines()))
 
 
 def test_the_first_line_must_be_a_batch() -> None:
--- a/tests/decisions/test_simulator_adapter.py
+++ b/tests/decisions/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter, by hand-written wire text."""
+"""The simulator adapter, tested with hand-written lines of its protocol."""
 
 from __future__ import annotations
 
@@ -64,14 +64,14 @@
     ]
 
 
-def query(door: str, rid: str, customer: int = 5) -> str:
+def request_line(door: str, request_id: str, customer: int = 5) -> str:
     return (
-        f"QUERY caller={customer} door={door} rid={rid} cls=read grade_of_service=plain "
+        f"QUERY caller={customer} door={door} rid={request_id} cls=read grade_of_service=plain "
         "remaining_ms=900.0 cost_units=1 spread=2 from_no=0"
     )
 
 
-def play(*batches: list[str]) -> list[list[str]]:
+def run_batches(*batches: list[str]) -> list[list[str]]:
     text = "".join(
         "\n".join([f"BATCH t_ms={9000 + 5 * n}", *lines, "YOUR_TURN", ""]) + "\n"
         for n, lines in enumerate(batches)
@@ -87,22 +87,22 @@
     assert sink.getvalue() == "READY\n"
 
 
-def test_a_request_is_counted_then_handed_off() -> None:
-    first = play([*up("door/0"), query("door/0", "00ff00ff00ff00ff")])[0]
-    names = [re.search(r"cname=(\d+)", line) for line in first]
-    assert [line.split()[0] for line in first] == ["POST_AMOUNT"]
+def test_a_request_is_reported_to_the_counter_and_then_sent() -> None:
+    first_reply = run_batches([*up("door/0"), request_line("door/0", "00ff00ff00ff00ff")])[0]
+    counter_names = [re.search(r"cname=(\d+)", line) for line in first_reply]
+    assert [line.split()[0] for line in first_reply] == ["POST_AMOUNT"]
     totals = [
         f"TOTAL door=door/0 cname={m.group(1)} result_value={n} rtt_ms=2.15 verdict=Ok"
-        for n, m in enumerate(names)
+        for n, m in enumerate(counter_names)
         if m
     ]
-    second = play([*up("door/0"), query("door/0", "00ff00ff00ff00ff")], totals)[1]
-    assert second[0].startswith("HAND_OFF door=door/0 rid=00ff00ff00ff00ff timeout_ms=")
-    assert second[0].endswith(("backend=11", "backend=22"))
+    second_reply = run_batches([*up("door/0"), request_line("door/0", "00ff00ff00ff00ff")], totals)[1]
+    assert second_reply[0].startswith("HAND_OFF door=door/0 rid=00ff00ff00ff00ff timeout_ms=")
+    assert second_reply[0].endswith(("backend=11", "backend=22"))
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "expected_text"),
     [
         ("QUERY door=door/0 rid=aa cls=read", "grade_of_service"),
         ("TICK_DUE door=door/0 name=x1", "whole number"),
@@ -112,30 +112,30 @@
         ("UPDATE door=door/0 scope=total index=1 roster_id=9", "roster_id"),
     ],
 )
-def test_a_malformed_line_is_named(line: str, told: str) -> None:
-    with pytest.raises(WireError, match="line 7: ") as caught:
-        play([*up("door/0"), line])
-    assert told in str(caught.value)
+def test_the_error_names_a_malformed_line(line: str, expected_text: str) -> None:
+    with pytest.raises(WireError, match="line 7: ") as raised:
+        run_batches([*up("door/0"), line])
+    assert expected_text in str(raised.value)
 
 
-def test_an_exception_in_the_module_becomes_die() -> None:
-    bad = query("door/0", "aa").replace("cls=read", "cls=video")
-    [reply] = play([*up("door/0"), bad])
+def test_an_exception_in_the_engine_is_reported_with_die() -> None:
+    invalid = request_line("door/0", "aa").replace("cls=read", "cls=video")
+    [reply] = run_batches([*up("door/0"), invalid])
     assert len(reply) == 1 and reply[0].startswith("DIE door=door/0 text=ValueError: class 'video'")
 
 
-def test_missing_settings_are_named() -> None:
+def test_the_error_names_a_missing_setting() -> None:
     line = 'UP door=door/0 init_seed=1 params={"me": 0}'
-    [reply] = play([line])
+    [reply] = run_batches([line])
     assert reply == ["DIE door=door/0 text=ValueError: setting policy_limits: missing"]
 
 
-def test_a_detached_instance_is_forgotten() -> None:
-    assert play([*up("door/0"), "DETACH door=door/0", query("door/0", "aa")]) == [[]]
+def test_a_detached_gateway_is_removed() -> None:
+    assert run_batches([*up("door/0"), "DETACH door=door/0", request_line("door/0", "aa")]) == [[]]
 
 
-def test_the_process_ends_plainly() -> None:
-    good = subprocess.run(
+def test_the_process_exits_with_0_at_the_end_and_with_an_error_on_a_malformed_line() -> None:
+    valid = subprocess.run(
         [sys.executable, "-m", "badgeryoke.decisions.simulator_adapter"],
         input="BATCH t_ms=1\nYOUR_TURN\n",
         capture_output=True,
@@ -143,8 +143,8 @@
         cwd=ROOT,
         check=False,
     )
-    assert (good.returncode, good.stdout, good.stderr) == (0, "READY\n", "")
-    bad = subprocess.run(
+    assert (valid.returncode, valid.stdout, valid.stderr) == (0, "READY\n", "")
+    invalid = subprocess.run(
         [sys.executable, "-m", "badgeryoke.decisions.simulator_adapter"],
         input="BATCH t_ms=soon\n",
         capture_output=True,
@@ -152,21 +152,23 @@
         cwd=ROOT,
         check=False,
     )
-    assert bad.returncode != 0
-    assert bad.stderr.strip() == "badgeryoke: line 1: field t_ms: expected a number, got 'soon'"
+    assert invalid.returncode != 0
+    assert invalid.stderr.strip() == "badgeryoke: line 1: field t_ms: expected a number, got 'soon'"
 
 
-def test_one_process_acts_as_three() -> None:
+def test_one_process_with_three_gateways_replies_like_three_processes() -> None:
     doors = [f"door/{n}" for n in range(3)]
     setup = [line for n, door in enumerate(doors) for line in up(door, seed=n)]
-    batches = [setup] + [[query(door, f"{n:016x}", customer=n % 4) for door in doors] for n in range(40)]
-    together = play(*batches)
+    batches = [setup] + [
+        [request_line(door, f"{n:016x}", customer=n % 4) for door in doors] for n in range(40)
+    ]
+    combined = run_batches(*batches)
     for door in doors:
-        alone = play(
+        single = run_batches(
             *[
                 [line for line in batch if "door=" not in line or f"door={door} " in f"{line} "]
                 for batch in batches
             ]
         )
-        assert alone == [[line for line in reply if f"door={door} " in line] for reply in together]
-    assert sum(map(len, together)) > 10
+        assert single == [[line for line in reply if f"door={door} " in line] for reply in combined]
+    assert sum(map(len, combined)) > 10
