--- a/badgeryoke/decisions/policy/engine.py
+++ b/badgeryoke/decisions/policy/engine.py
@@ -183,7 +183,10 @@
     def _retry_filter(
         self, now: float, pending: PendingRequest, sent_at: float = math.inf
     ) -> api.RetryFilter:
-        """Servers at which the request's idempotency allows a retry; `sent_at`: of the attempt in flight."""
+        """Return which servers the request's idempotency allows for a retry.
+
+        `sent_at` is the send time of an attempt in flight that would be cancelled for the retry.
+        """
         first, cls = pending.first_possible_run, pending.request_class
         if first is None and sent_at < math.inf and pending.server:
             first = pending.server, sent_at
--- a/badgeryoke/decisions/policy/load_balancing.py
+++ b/badgeryoke/decisions/policy/load_balancing.py
@@ -21,9 +21,7 @@
 # still send to a server with a long queue.
 QUEUE_TAU_OBJECTIVES = 2.5
 QUEUE_TAU_MULTIPLE = 3.0
-SEND_RATE_TAU_MS = (
-    3000.0  # time constant of the gateway's send rate: long against a tick, short against a ramp
-)
+SEND_RATE_TAU_MS = 3000.0  # time constant of the send rate: long against a tick, short against a slow start
 INITIAL_LATENCY_FRACTION = 0.12  # assumed latency of a server without responses, in parts of the objective
 CROSS_ZONE_COST_MULTIPLE = 1.06  # a server in another zone is chosen only if it is faster by this factor
 MIN_EXPLORATION_SHARE = 0.05  # minimum random part of the choice, so that gateways do not move in step
@@ -50,16 +48,15 @@
 # At least this fraction of the servers counts as warm; otherwise the few warm ones would be overloaded.
 MIN_WARM_FRACTION = 0.3
 POOL_GAIN = 0.2  # EWMA weight of one response in the values over all servers
-INITIAL_SERVER_CONCURRENCY = (
-    6.0  # attempts in flight per server, of all gateways, before anything is measured
-)
+# Limit of attempts in flight per server, of all gateways together, before anything is measured.
+INITIAL_SERVER_CONCURRENCY = 6.0
 # Attempts in flight of a gateway beyond its share, as arrivals are uneven; they add up over the gateways.
 SPARE_CONCURRENCY = 1.0
 # Increase of the limit per fast response up to SPARE_CONCURRENCY, so that a stall does not last for minutes.
 CONCURRENCY_RECOVERY = 0.03
-CONCURRENCY_DECREASE = 0.5  # decrease of the limit per response while the latency is above the target
-# Up to this fraction of the objective the mean latency over all servers is healthy; the discount lowers the
-# limit, at its full value if servers are chosen entirely at random.
+CONCURRENCY_DECREASE = 0.5  # decrease of the limit per response while responses are slow
+# The mean latency over all servers is healthy up to this fraction of the objective.  The discount lowers that
+# fraction, with its full value if servers are chosen entirely at random.
 HEALTHY_LATENCY_FRACTION = 0.42
 EXPLORATION_HEALTHY_DISCOUNT = 0.65
 HALF_OPEN_OBJECTIVES = 5.0  # time without a send after which one is sent despite slow responses, as a trial
@@ -71,11 +68,9 @@
     def __init__(self, endpoint: api.Server, aperture_rank: float, slow_start_credit: float) -> None:
         self.endpoint, self.aperture_rank = endpoint, aperture_rank  # the aperture holds the lowest ranks
         self.in_flight: dict[tuple[str, int], float] = {}  # send time by (request id, attempt)
-        self.base_latency = 0.0  # latency without a queue, follows fast responses quickly; 0: unknown
-        self.latency, self.measured_at = (
-            0.0,
-            -math.inf,
-        )  # EWMA of the latency, and the time of its last change
+        self.base_latency = 0.0  # ms without a queue; follows fast responses quickly; 0: unknown
+        # EWMA of the latency in ms, and the time of its last change.
+        self.latency, self.measured_at = 0.0, -math.inf
         self.latency_is_estimate = False  # the latency is a lower bound derived from missing responses
         # Time of the last send, and send time of the latest attempt that got a response.
         self.last_sent_at = self.newest_answered_at = -math.inf
@@ -151,7 +146,7 @@
         """This gateway's share of the attempts in flight that the servers can handle from all gateways."""
         return INITIAL_SERVER_CONCURRENCY * len(self._available) / self._settings.gateway_count
 
-    def _informed_servers(self, now: float) -> float:
+    def _measurable_server_count(self, now: float) -> float:
         """Number of servers that this gateway's sends suffice to measure.
 
         The send rate is corrected for the short time since the first send.
@@ -165,23 +160,25 @@
 
         A server is measured well by a few gateways, instead of poorly by all.
         """
-        return max(self._informed_servers(now), MIN_APERTURE_SIZE)
+        return max(self._measurable_server_count(now), MIN_APERTURE_SIZE)
 
-    def _information(self, now: float) -> float:
+    def _sample_ratio(self, now: float) -> float:
         """Sends of this gateway to each server of the aperture, in multiples of INFORMATIVE_SENDS.
 
         The sends are those within QUEUE_TAU_OBJECTIVES.
         """
-        informed = self._informed_servers(now)
-        return informed / max(1, min(max(informed, MIN_APERTURE_SIZE), len(self._available)))
+        measurable = self._measurable_server_count(now)
+        return measurable / max(1, min(max(measurable, MIN_APERTURE_SIZE), len(self._available)))
 
     def _exploration_share(self, now: float) -> float:
         """Random part of the choice: 1 if nothing is known about the servers' queues."""
-        return max(1 - self._information(now), MIN_EXPLORATION_SHARE)
+        return max(1 - self._sample_ratio(now), MIN_EXPLORATION_SHARE)
 
     def is_healthy(self, now: float) -> bool:
-        """Whether responses are fast; the limit is lower for a random choice, as the mean then hides
-        congested servers."""
+        """Whether responses are fast.
+
+        The limit is lower if servers are chosen at random, as the mean then hides congested servers.
+        """
         discount = EXPLORATION_HEALTHY_DISCOUNT * self._exploration_share(now)
         return self._relative_latency <= HEALTHY_LATENCY_FRACTION * (1 - discount)
 
@@ -194,26 +191,28 @@
         return self._rng.random() >= self._concurrency_share() + self._extra_concurrency - self._in_flight
 
     def _expected_latency(self, now: float, server: ServerState) -> tuple[float, float]:
-        """Return the base latency and the queueing delay of a server.
+        """Return the base latency and the queueing delay of a server, in ms.
 
         The delay decays with time; otherwise a past queue would exclude the server for good.
         """
         if not server.base_latency:
             size = max(server.endpoint.size, 0.1)
             return self._mean_latency_ms / size / self._warm_fraction(now, server), 0.0
-        queue = max(server.latency - server.base_latency, 0.0)
-        tau_ms = max(QUEUE_TAU_OBJECTIVES * self._objective_ms, QUEUE_TAU_MULTIPLE * queue)
-        queue *= math.exp((server.measured_at - now) / tau_ms)
+        queue_ms = max(server.latency - server.base_latency, 0.0)
+        tau_ms = max(QUEUE_TAU_OBJECTIVES * self._objective_ms, QUEUE_TAU_MULTIPLE * queue_ms)
+        queue_ms *= math.exp((server.measured_at - now) / tau_ms)
         # An attempt in flight is a lower bound on the queueing delay, unless a later one has overtaken it.
-        oldest = min((at for at in server.in_flight.values() if at >= server.newest_answered_at), default=now)
-        return server.base_latency, max(queue, now - oldest - server.base_latency)
+        oldest_sent_at = min(
+            (at for at in server.in_flight.values() if at >= server.newest_answered_at), default=now
+        )
+        return server.base_latency, max(queue_ms, now - oldest_sent_at - server.base_latency)
 
     def silence_timeout(self, now: float, server_id: int, objective_ms: float) -> float:
         """Return after how many ms without a response a server is silent; longer with fewer samples."""
-        multiple = SILENCE_LATENCY_MULTIPLE * (1 + INFORMATIVE_SENDS / max(self._information(now), 1.0))
-        expected = sum(self._expected_latency(now, self._servers[server_id]))
-        expected = max(expected, SILENCE_POOL_FRACTION * self._relative_latency * objective_ms)
-        return max(multiple * expected, SILENCE_OBJECTIVE_FRACTION * objective_ms)
+        multiple = SILENCE_LATENCY_MULTIPLE * (1 + INFORMATIVE_SENDS / max(self._sample_ratio(now), 1.0))
+        expected_ms = sum(self._expected_latency(now, self._servers[server_id]))
+        expected_ms = max(expected_ms, SILENCE_POOL_FRACTION * self._relative_latency * objective_ms)
+        return max(multiple * expected_ms, SILENCE_OBJECTIVE_FRACTION * objective_ms)
 
     def _warm_fraction(self, now: float, server: ServerState) -> float:
         """Return the fraction of its full capacity that a server has at least at this time."""
@@ -221,8 +220,8 @@
         age_ms = max(now - started_ms, 0.0)  # the start is read from another clock and may lie in the future
         if started_ms <= 0 or age_ms >= slow_start_ms:
             return 1.0
-        initial = self._settings.slow_start_fraction
-        return max(initial + (1 - initial) * age_ms / slow_start_ms, 0.01)
+        initial_fraction = self._settings.slow_start_fraction
+        return max(initial_fraction + (1 - initial_fraction) * age_ms / slow_start_ms, 0.01)
 
     def _has_credit(self, now: float, server: ServerState, usual_rate: float) -> bool:
         """Whether a server is warm or has credit for a send; few gateways have credit at the same time."""
@@ -239,11 +238,11 @@
         return server.slow_start_credit >= 1
 
     def choose(self, now: float, allowed: api.ServerFilter, tried: list[int]) -> api.ServerChoice | None:
-        """Return the server with the lowest cost and its expected latency; None if no server may be used.
+        """Return the server of the lowest cost and its expected latency; None if no server may be used.
 
         Aperture: if hundreds of gateways each use all servers, none has enough samples of any server.  So
         each gateway uses a few servers, in its own random order, and demotes outliers.  Exploration and
-        rotation prevent that all gateways use the same servers.
+        rotation keep the gateways from all using the same servers.
         """
         best: tuple[float, ServerState, float] | None = None
         zone, next_random = self._settings.zone, self._rng.random
@@ -260,15 +259,15 @@
             if places_left <= 0:
                 break
             places_left -= 1
-            base, queue = self._expected_latency(now, server)
+            base_ms, queue_ms = self._expected_latency(now, server)
             failure_cost = 1 + FAILURE_COST_MULTIPLE * server.failure_rate.at(now)
             # A server with an estimated queue gets a trial after one objective without a send, or later if
             # its attempts fail.
             if server.latency_is_estimate and now - server.last_sent_at >= self._objective_ms * failure_cost:
-                queue = 0.0
+                queue_ms = 0.0
             # Cancels the warm fraction in the expected latency: in slow start, the credit limits the sends.
             fraction = 1.0 if server.base_latency else self._warm_fraction(now, server)
-            cost = (base * fraction * (1 + len(server.in_flight)) + queue) * failure_cost
+            cost = (base_ms * fraction * (1 + len(server.in_flight)) + queue_ms) * failure_cost
             cost *= (-math.log(1 - next_random())) ** exploration
             cost *= CROSS_ZONE_COST_MULTIPLE if endpoint.zone != zone else 1.0
             cost *= FAILURE_COST_MULTIPLE if endpoint.id in tried else 1.0
@@ -277,7 +276,7 @@
             if now - server.answered_at >= CONNECTION_IDLE_MS:
                 cost *= 1 + self._connect_failure_rate * len(self._available)
             if best is None or cost < best[0]:
-                best = cost, server, base + queue
+                best = cost, server, base_ms + queue_ms
         if places_left <= 0 and next_random() < ROTATION_PROBABILITY:
             self._demote(now, self._available[0])
         return None if best is None else (best[1].endpoint, best[2])
@@ -321,8 +320,8 @@
             self._record_congestion(now, server, self._objective_ms)
         elif verdict is api.Verdict.TIMEOUT:
             if not self.is_healthy(now):
-                relative = min(event.rtt_ms / objective_ms, 1.0)
-                self._relative_latency += POOL_GAIN * (relative - self._relative_latency)
+                relative_latency = min(event.rtt_ms / objective_ms, 1.0)
+                self._relative_latency += POOL_GAIN * (relative_latency - self._relative_latency)
                 share = self._concurrency_share()
                 self._extra_concurrency = max((self._extra_concurrency - share) / 2, -share / 2)
             # If a later attempt got a response, this one was lost on its way and did not wait in a queue.
@@ -363,7 +362,7 @@
         self._mean_latency_ms += gain * (rtt_ms - self._mean_latency_ms)
 
     def detect_silence(self, now: float, server_id: int, key: tuple[str, int], timeout_ms: float) -> bool:
-        """Record a failure if a server has not responded for the timeout; whether to cancel the attempt.
+        """Record a failure if a server did not respond in time; return whether to cancel the attempt.
 
         While responses are slow everywhere, the attempt is not cancelled.
         """
--- a/badgeryoke/decisions/policy/quota.py
+++ b/badgeryoke/decisions/policy/quota.py
@@ -91,6 +91,7 @@
         self.plan, self.customer, self.first_gateway = plan, request.customer, request.first_gateway
         self.gateway_set_size = max(1, min(request.gateway_set_size, settings.gateway_count))
         self.bucket = GcraBucket(plan.rate, plan.burst, now)  # usage through all gateways together
+        # A new quota starts with an even share of the burst.
         self.bucket.tat = now + self.bucket.tolerance * (1 - 1 / self.gateway_set_size)
         # Usage through this gateway; before each use, the interval is set from the gateway's share.
         self.own_bucket = GcraBucket(plan.rate, plan.burst, now)
@@ -363,21 +364,23 @@
     def _apply_total(self, now: float, quota: CustomerQuota, total: float, units: float) -> None:
         """Charge the units used through other gateways since the last total, and update the usage rates."""
         bucket, elapsed_ms = quota.bucket, now - quota.synchronized_at
-        others = max(total - quota.last_total - units - quota.uncertain_units, 0.0) + quota.estimated_units
-        others = self.visibility.others_units(quota, others) if self.visibility else others
+        others_units = (
+            max(total - quota.last_total - units - quota.uncertain_units, 0.0) + quota.estimated_units
+        )
+        others_units = self.visibility.others_units(quota, others_units) if self.visibility else others_units
         quota.reported_units += units
         quota.uncertain_units, quota.was_unsynchronized = 0.0, not quota.synchronized
         if quota.synchronized or quota.visibility_version or quota.plan.rate <= 0:
-            bucket.consume(others, quota.synchronized_at)
+            bucket.consume(others_units, quota.synchronized_at)
         else:
             # Units used through this gateway that no total contains yet.
-            own = max(quota.own_bucket.tat - now, 0.0) / quota.own_bucket.interval_ms
+            own_units = max(quota.own_bucket.tat - now, 0.0) / quota.own_bucket.interval_ms
             period_start = (quota.period - quota.period_phase) * quota.period_ms
-            bucket.tat = period_start + (others + own) * bucket.interval_ms
+            bucket.tat = period_start + (others_units + own_units) * bucket.interval_ms
         quota.synchronized = True
         if elapsed_ms > 0:
             gain = 1 - math.exp(-elapsed_ms / (RATE_TAU_PERIODS * quota.period_ms))
-            quota.others_rate += gain * (others / elapsed_ms * SECOND_MS - quota.others_rate)
+            quota.others_rate += gain * (others_units / elapsed_ms * SECOND_MS - quota.others_rate)
             quota.own_rate += gain * (units / elapsed_ms * SECOND_MS - quota.own_rate)
         min_total = quota.last_total + units if quota.epoch else -math.inf
         quota.last_total, quota.synchronized_at = max(total, min_total), now
