--- a/tests/decisions/test_fleet_sums.py
+++ b/tests/decisions/test_fleet_sums.py
@@ -18,14 +18,14 @@
 
 
 def test_requests_of_uneven_duration_are_not_cancelled_as_silent() -> None:
-    """In join+vast, 13% of the attempts of the first five seconds were cancelled, all at working servers."""
+    """13% of the attempts of the first five seconds were cancelled, all at working servers."""
     fleet = GatewayFleet(40, SERVERS)
     fleet.run(15.0, 8.0)
     assert len(fleet.sends) > 3000 and fleet.cancelled < 0.004 * len(fleet.sends)
 
 
 def test_a_gateway_of_a_fleet_uses_no_more_servers_than_its_sends_can_measure() -> None:
-    """In join+vast, each gateway used 55 of 60 servers and sent as much to the slow ones."""
+    """Each gateway used 55 of 60 servers and sent as much to the slow ones."""
     fleet = GatewayFleet(40, SERVERS)
     fleet.run(20.0, 8.0)
     late_sends = [(n, to) for at, n, to in fleet.sends if at > fleet.now - 5000]
@@ -47,7 +47,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200])
 def test_servers_in_slow_start_get_their_share_and_no_more_over_all_gateways(gateways: int) -> None:
-    """In join+vast, 18 of 60 servers, 4 to 9 s old, got 55 of 1,247 sends, and with 200 gateways hardly any:
+    """18 of 60 servers, 4 to 9 s old, got 55 of 1,247 sends, and with 200 gateways hardly any:
     slow-start credit was computed from all servers, though a gateway uses few, and lost if a warm one was faster.
     """
     fleet = GatewayFleet(gateways, SERVERS[:40], overload_multiple=3.0)
@@ -88,7 +88,7 @@
 def test_retries_of_all_gateways_at_discovery_are_bounded_and_spread(
     gateways: int, max_per_second: int
 ) -> None:
-    """In herd+vast, 40 gateways called discovery 6 times a second each; 2 changes arrived in the whole run."""
+    """40 gateways called discovery 6 times a second each; 2 changes arrived in the whole run."""
     calls = call_times_after_failure(gateways, 60.0)
     assert most_in_a_window([at for times in calls for at in times if at >= 20], 1.0) <= max_per_second
     assert most_in_a_window([at for times in calls for at in times if at > 5], 0.02) <= max(4, gateways / 10)
--- a/tests/decisions/test_large_fleet.py
+++ b/tests/decisions/test_large_fleet.py
@@ -40,7 +40,7 @@
 
 
 def test_a_gateway_with_a_low_send_rate_uses_few_servers() -> None:
-    """In run L725790, each of 249 gateways used each of 48 servers once in 20 s: too few samples of any."""
+    """Each of 249 gateways used each of 48 servers once in 20 s: too few samples of any."""
     server_ids = send_requests(gateway_of_large_fleet(), frozenset(), 40)
     assert len(set(server_ids)) <= 10
 
@@ -53,7 +53,7 @@
 
 
 def test_a_failing_server_gets_no_second_attempt_at_once() -> None:
-    """In run L725790, the congested half of the servers got two thirds as many requests as the rest for 25 s."""
+    """The congested half of the servers got two thirds as many requests as the rest for 25 s."""
     failing_servers = frozenset(range(0, SERVER_COUNT, 2))
     server_ids = send_requests(gateway_of_large_fleet(), failing_servers, 60)
     failed_attempts = [s for s in server_ids if s in failing_servers]
@@ -123,7 +123,7 @@
 
 
 def test_unconfirmed_requests_are_shed_first_under_overload() -> None:
-    """In run L725790, a quarter of the unconfirmed sends was over quota and overloaded the slower servers."""
+    """A quarter of the unconfirmed sends was over quota and overloaded the slower servers."""
     plans = (api.Plan("plain", rate=5.0, burst=20.0, over_quota_cost=0.5),)
     now = START + 20 * 400
     for rtt_ms, sent in ((100.0, True), (500.0, False)):
@@ -132,7 +132,7 @@
 
 
 def test_the_healthy_latency_is_lower_if_servers_are_chosen_at_random() -> None:
-    """In run L725790, a mean latency that is healthy with known queues hid congested servers."""
+    """A mean latency that is healthy with known queues hid congested servers."""
     for interval_ms, is_healthy in ((100.0, True), (4000.0, False)):
         assert (
             after_responses(gateway_of_large_fleet(), 350.0, 60, interval_ms)._balancer.is_healthy(
@@ -143,7 +143,7 @@
 
 
 def test_a_gateway_that_sheds_all_load_sends_a_trial() -> None:
-    """In run ied37d6, unconfirmed requests were not sent, so no response showed the recovery: 91% were rejected."""
+    """Unconfirmed requests were not sent, so no response showed the recovery: 91% were rejected."""
     plans = (api.Plan("plain", rate=5.0, burst=20.0, over_quota_cost=0.5),)
     engine = after_responses(gateway(plans=plans, has_counter=False), 500.0)
     last = START + 20 * 400
@@ -152,7 +152,7 @@
 
 
 def test_a_failing_server_is_tried_again_before_all_others_have_failed() -> None:
-    """In run L725790, all gateways left the slow half of the servers at once and overloaded the other half."""
+    """All gateways left the slow half of the servers at once and overloaded the other half."""
     runs = [
         send_requests(
             gateway_of_large_fleet(seed=n),
--- a/tests/decisions/test_quota.py
+++ b/tests/decisions/test_quota.py
@@ -359,9 +359,8 @@
     [call] = only(engine.handle(later, request("c", units=1.0)), api.AddToCounter)
     customer_quota = engine._quota._quotas[7]
     used, seen = customer_quota.bucket.tat, customer_quota.synchronized_at
-    engine.handle(
-        later, api.CounterReply(call.name, api.Verdict.OK, 2.0, call.units + 3.0)
-    )  # 3 units through other gateways
+    # The total includes 3 units through other gateways.
+    engine.handle(later, api.CounterReply(call.name, api.Verdict.OK, 2.0, call.units + 3.0))
     assert customer_quota.bucket.tat >= max(used, seen) + 3.0 * customer_quota.bucket.interval_ms
 
 
@@ -388,9 +387,10 @@
     engine.handle(START + 60.0, api.CounterReply(call.name, api.Verdict.OK, 2.0, call.units + 2.0))
     customer_quota = engine._quota._quotas[7]
     start = (customer_quota.period - customer_quota.period_phase) * customer_quota.period_ms
+    # The tolerance covers the units earned back since then.
     assert customer_quota.bucket.tat == pytest.approx(
         start + 2.0 * customer_quota.bucket.interval_ms, abs=100.0
-    )  # tolerance: units earned back since then
+    )
 
 
 @pytest.mark.parametrize("answered", [0.0, 0.3, 1.0])
--- a/tests/decisions/test_random_settings.py
+++ b/tests/decisions/test_random_settings.py
@@ -274,9 +274,8 @@
     plan, free = api.Plan("plain", rate=1.0, burst=8.0), api.Plan("plain")
     engine, totals = gateway(plans=(plan,)), dict[int, float]()
     admit(engine, START, request("r0"), totals)
-    engine._quota._call_probability = (
-        0.3  # the counter is congested: requests with spare capacity are sent unconfirmed and reported later
-    )
+    # The counter is congested: requests with spare capacity are sent unconfirmed and reported later.
+    engine._quota._call_probability = 0.3
     [report_timer] = [
         timer
         for timer in only(engine.handle(START + 1, request("r1")), api.SetTimer)
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -88,9 +88,8 @@
     ("cls", "is_cancelled"), [("read", True), ("write", True), ("pay", False), ("short", False)]
 )
 def test_a_silent_attempt_is_cancelled_only_if_its_class_allows_a_retry(cls: str, is_cancelled: bool) -> None:
-    short = replace(
-        SETTINGS.classes[1], name="short", deduplication_window_ms=50.0
-    )  # the window ends before silence can be detected
+    # The deduplication window of this class ends before silence can be detected.
+    short = replace(SETTINGS.classes[1], name="short", deduplication_window_ms=50.0)
     engine = gateway(has_counter=False, classes=(*SETTINGS.classes, short))
     actions = engine.handle(START, request("a", cls))
     [timer] = only(actions, api.SetTimer)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -46,7 +46,7 @@
         return sum(work * share for work, share, _ in self.classes)
 
     def capacity_fraction(self, age: float) -> float:
-        """Return the fraction of its capacity that a server of this age (ms) has: it grows linearly."""
+        """Return the fraction of its capacity that a server of this age (ms) has: it grows at least linearly."""
         return self.slow_start_fraction + (1 - self.slow_start_fraction) * min(age / self.slow_start_ms, 1.0)
 
 
@@ -156,8 +156,8 @@
     def worst_window(self) -> tuple[float, float, float, float]:
         """Return the highest load of a new server in any window, as a fraction of N + 2 * sqrt(N) + 2.
 
-        N is the overload limit at the start of the window; the term in sqrt(N) allows for random arrivals.
-        The other values are the server's age, the load and N.
+        N is the overload limit at the start of the window, 2 * sqrt(N) + 2 the tolerance.  The other values
+        are the server's age, the load and N.
         """
         worst, site = (0.0, 0.0, 0.0, 0.0), self.site
         for to, size in self.size.items():
