--- a/badgeryoke/decisions/counter_health/counter_state.py
+++ b/badgeryoke/decisions/counter_health/counter_state.py
@@ -1,6 +1,6 @@
 """The states of the counter, the symptoms that replies show, and the state machine between them.
 
-The values of both enumerations are logged and stored in results, and keep their old words.
+The values of both enumerations are logged and stored in results, so they must not change.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 
 class CounterState(Enum):
-    """What the counter is presumed to be."""
+    """The presumed state of the counter, as seen by one gateway."""
 
     UNKNOWN = "unknown"
     HEALTHY = "sound"
     SLOW = "slow"
     DEAD = "dead"
-    GATEWAY_HIDDEN = "missing"  # a gateway is hidden; whether by a partition is not decided yet
+    GATEWAY_HIDDEN = "missing"  # a gateway is hidden; not decided yet whether by a partition
     GATEWAY_DEAD = "absent"  # the hidden gateway is presumed dead: its clients have moved here
     PARTITIONED = "split"
     DATA_LOST = "swapped"
@@ -24,7 +24,7 @@
 
 
 class Symptom(Enum):
-    """What the last replies show, the most severe first."""
+    """What the last replies show, in order of falling severity."""
 
     UNREACHABLE = "no answers"
     DATA_LOST = "own units gone"
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterStateChange:
-    """A transition of the state machine, for the log and the testbed."""
+    """A state transition, for the log and the testbed."""
 
     at_ms: float
     old: CounterState
--- a/badgeryoke/decisions/counter_health/detector.py
+++ b/badgeryoke/decisions/counter_health/detector.py
@@ -1,15 +1,15 @@
-"""Tells from the replies to this gateway's own calls what the counter is.  No I/O: calls go out as data, and
-times are passed in.
+"""Derives the state of the counter from the replies to this gateway's own calls.  No I/O: calls are returned as
+data, and times are passed in.
 
-Two results are kept apart.  The *visibility*, by which quotas are granted, follows each reading at once where
-it takes away, and no sooner than MIN_STATE_DURATION_MS later where it gives back.  The *state*, which is
-logged and shown to operators, follows TRANSITIONS and never changes twice within MIN_STATE_DURATION_MS.
+There are two separate results.  The *visibility*, by which quotas are granted, decreases at once with a reading,
+and increases no sooner than MIN_STATE_DURATION_MS after its last change.  The *state*, which is logged and shown
+to operators, follows TRANSITIONS and never changes twice within MIN_STATE_DURATION_MS.
 
 Gateways share nothing but the counter, so all that one can learn of another is whether its digit in the
-presence register still grows (see `presence_register`).  A digit that stands still has three possible causes,
-and no call tells them apart: the other is dead, it is cut off from the counter, or it writes to another part
-of a partitioned counter.  Grants are safe against all three.  For the state, the request rate helps: clients
-of a dead gateway move to those that are left, while those of a partitioned gateway stay with it.
+presence register still grows (see `presence_register`).  A digit that does not grow has three possible causes,
+which no call can distinguish: the other gateway is dead, it is cut off from the counter, or it writes to another
+part of a partitioned counter.  Grants are safe in all three cases.  The state also depends on the request rate:
+clients of a dead gateway move to the remaining ones, while those of a partitioned gateway stay with it.
 """
 
 from __future__ import annotations
@@ -38,39 +38,40 @@
 from badgeryoke.decisions.counter_health.reply_monitor import ReplyMonitor
 from badgeryoke.decisions.counter_health.visibility import Visibility
 
-MAX_HIDDEN_USE_MS = 10_000.0  # at most so much use by hidden gateways is paid back
-MIN_STATE_DURATION_MS = 2000.0  # between two changes of the state, and before a share is given back
-EPOCH_MS = 60_000.0  # epochs end at all gateways at once, so that none are in different ones for longer
-EPOCHS_PER_PERIOD = 10  # an epoch's number is its register period's, times this, plus the generation
-MIN_EXTRA_CALL_GAP_MS = 4000.0  # between two calls beside the heartbeats, so that all are 2 a second at most
+MAX_HIDDEN_USE_MS = 10_000.0  # hidden gateways' use before their detection counts for this time at most
+MIN_STATE_DURATION_MS = 2000.0  # between two changes of the state, and before visibility increases
+EPOCH_MS = 60_000.0  # epochs end at the same time at all gateways, which bounds how long they can differ
+EPOCHS_PER_PERIOD = 10  # epoch number = number of its register period * this + generation
+MIN_EXTRA_CALL_GAP_MS = 4000.0  # between two calls beside the heartbeats: with them no more than 2 calls/s
 MAX_UNREAD_CHANGES = 64
 
 
 class CounterHealthDetector:
-    """One gateway's health check of the counter; `visibility` is what quotas are granted by."""
+    """One gateway's health check of the counter; quotas are granted by its `visibility`."""
 
     def __init__(self, gateway_index: int, gateway_count: int, timeout_ms: float) -> None:
         self.gateway_index, self.gateway_count = gateway_index, gateway_count
         self.visibility = Visibility(gateway_index, gateway_count)
         self.state = CounterState.UNKNOWN
-        self.changes: list[CounterStateChange] = []  # not yet fetched by take_changes
+        self.changes: list[CounterStateChange] = []  # not yet returned by take_changes
         self.peers = PeerHeartbeats(gateway_index, gateway_count)
         self.group = self.peers.group
         self.started_at = self._changed_at = math.nan
         self._replies = ReplyMonitor(timeout_ms)
         self._diagnosis = HiddenGatewayDiagnosis()
         self._schedule = HeartbeatSchedule(gateway_index, gateway_count)
-        self._is_starting = True  # until each register was read twice, nobody is known to be alive
+        self._is_starting = True  # until each register was read twice: no gateway is known to be alive yet
         self._reading_count = 0
         self._rotation_index = 0
-        self._own_digit = 0  # as last read, ...
-        self._own_period = -1  # ... in this period
-        self._previous_own_digit = 0  # as last read in the period before
-        self._previous_period_closed = True  # the period before was read once more
-        self._registered_period = self._members_period = -1  # membership periods written to, and read
+        self._own_digit = 0  # this gateway's digit as last read
+        self._own_period = -1  # the period in which it was read
+        self._previous_own_digit = 0  # this gateway's digit as last read in the previous period
+        self._previous_period_closed = True  # the previous period's register was read a last time
+        # The membership periods last written to and last read.
+        self._registered_period = self._members_period = -1
         self._generation = self._seen_generation = 0
-        self._heartbeats_to_publish = 0  # heartbeats until a loss of data is published; 0: none is
-        self._agreed_epoch = -1
+        self._heartbeats_to_publish = 0  # heartbeats until a loss of data is published; 0: nothing to publish
+        self._epoch_window = -1  # number of the present period of EPOCH_MS
         self._data_lost_at = self._unreachable_at = -math.inf
         self._calls_in_flight = 0
         self._last_extra_call_at = -math.inf
@@ -78,7 +79,7 @@
     # Calls to the counter -------------------------------------------------------------------------------
 
     def next_heartbeat_at(self, now: float) -> float:
-        """When to call next."""
+        """When the next call is due."""
         return self._schedule.next_at(now)
 
     def heartbeat(self, now: float) -> list[RegisterCall]:
@@ -86,11 +87,11 @@
         if math.isnan(self.started_at):
             self._start(now)
         self._diagnosis.request_rate.sample(now)
-        agreed_epoch = int(now // EPOCH_MS)
-        if agreed_epoch != self._agreed_epoch:  # each customer's next period has a name without epoch again
-            self._agreed_epoch = agreed_epoch
+        epoch_window = int(now // EPOCH_MS)
+        if epoch_window != self._epoch_window:  # customers' next periods use names without an epoch again
+            self._epoch_window = epoch_window
             self.visibility.epoch = 0
-        if self._calls_in_flight:  # the last one ends by its timeout at the latest
+        if self._calls_in_flight:  # they end by their timeout at the latest
             return []
         if not self._schedule.start(now):
             return []
@@ -110,7 +111,7 @@
     def _start(self, now: float) -> None:
         self.started_at = self.visibility.started_at = self._changed_at = now
         self.peers.started_at = self._replies.last_success_at = now
-        if self.peers.neighbours:  # nobody is visible yet
+        if self.peers.neighbours:  # no other gateway is visible yet
             self.visibility.update_view(now, False, frozenset(self.peers.neighbours), frozenset(), 0.0)
         else:
             self._is_starting = False
@@ -125,7 +126,7 @@
         return register_calls.heartbeat_call(self.group, period, units, self._generations_to_publish())
 
     def _extra_call(self, now: float, period: int) -> RegisterCall | None:
-        """The call beside the heartbeat: one for a membership register, or the last period's final read."""
+        """A call beside the heartbeat: for a membership register, or the final read of the previous period."""
         membership_period = int(now // MEMBERSHIP_PERIOD_MS)
         is_new = now - self.started_at < 2 * HEARTBEAT_INTERVAL_MS
         if not is_new and now - self._last_extra_call_at < MIN_EXTRA_CALL_GAP_MS:
@@ -145,9 +146,9 @@
         return None
 
     def _generations_to_publish(self) -> int:
-        """Generations to add to this heartbeat: a loss of data found here that nobody has published yet.
+        """Generations to add with this heartbeat: a loss of data detected here that is not published yet.
 
-        The lowest gateway of a group goes first and each other a heartbeat later, so that one is enough.
+        Gateways of a group wait one heartbeat longer each, by their index, so that usually only one publishes.
         """
         if not self._heartbeats_to_publish:
             return 0
@@ -172,7 +173,7 @@
         self._calls_in_flight = max(self._calls_in_flight - 1, 0)
         self.call_ended(now, succeeded, rtt_ms, connect_failed)
         if not succeeded:
-            if call.published_generation:  # nobody may have read it: again with the next heartbeat
+            if call.published_generations:  # possibly not recorded: published again with the next heartbeat
                 self._heartbeats_to_publish = 1
             if overloaded:
                 self._schedule.back_off()
@@ -195,7 +196,7 @@
         self.peers.record_digits(now, call.group, call.period, digits)
 
     def _check_own_digit(self, now: float, call: RegisterCall, digits: tuple[int, ...]) -> None:
-        """Find out whether the counter has lost data: a digit below what was confirmed proves it."""
+        """Check whether the counter has lost data: an own digit below the confirmed value proves it."""
         own_digit = digits[self.gateway_index % GATEWAYS_PER_REGISTER]
         if call.period == self._own_period:
             expected = self._own_digit + call.is_heartbeat
@@ -208,12 +209,12 @@
                 self.visibility.start_epoch(call.period * EPOCHS_PER_PERIOD + generation)
                 self._data_lost_at = now
             if own_digit < expected:
-                self._data_lost(now, call.period)
+                self._start_new_epoch(now, call.period)
         elif call.period == self._own_period - 1 and own_digit < self._previous_own_digit:
-            self._data_lost(now, self._own_period)
+            self._start_new_epoch(now, self._own_period)
 
-    def _data_lost(self, now: float, period: int) -> None:
-        """The counter has lost units that it had confirmed: customers' names move to a new epoch."""
+    def _start_new_epoch(self, now: float, period: int) -> None:
+        """Move customers' names to a new epoch after the counter has lost units that it had confirmed."""
         self._data_lost_at = now
         if self._generation < MAX_GENERATION:
             self._generation += 1
@@ -221,7 +222,7 @@
         self._heartbeats_to_publish = 2 + self.gateway_index % GATEWAYS_PER_REGISTER
 
     def call_ended(self, now: float, succeeded: bool, rtt_ms: float, connect_failed: bool = False) -> None:
-        """Take in the outcome of any call of this gateway: customers' calls show the counter's health too."""
+        """Process the outcome of any call of this gateway: customers' calls show the counter's health too."""
         self._replies.record(now, succeeded, rtt_ms, connect_failed)
         is_known = succeeded or self.visibility.counter_unreachable
         if not is_known and self._replies.is_unreachable(now):
@@ -231,16 +232,16 @@
         """Count a client's request."""
         self._diagnosis.request_rate.request_arrived()
 
-    # What follows from them -----------------------------------------------------------------------------
+    # State and visibility --------------------------------------------------------------------------------
 
     def update_state(self, now: float) -> None:
-        """Bring visibility and state in line with what has been read."""
+        """Update visibility and state from the replies so far."""
         unreachable = self._replies.is_unreachable(now)
         if self._is_starting:
             if not unreachable and self._reading_count < 2 * len(set(self.peers.group_rotation)):
                 return
             self._is_starting = False
-            self.visibility.changed_at = -math.inf  # what is given now was not taken away before
+            self.visibility.changed_at = -math.inf  # the initial visibility may be replaced at once
         suspected: frozenset[int] = frozenset()
         hidden: tuple[int, ...] = ()
         if not unreachable:
@@ -248,16 +249,16 @@
             suspected, hidden = self.peers.find_hidden(now, is_slow, self._unreachable_at)
         self._update_visibility(now, unreachable, suspected)
         symptom = self._find_symptom(now, unreachable, hidden)
-        new = TRANSITIONS[self.state][symptom]
-        if new is self.state:
+        new_state = TRANSITIONS[self.state][symptom]
+        if new_state is self.state:
             return
         if self.state is not CounterState.UNKNOWN and now - self._changed_at < MIN_STATE_DURATION_MS:
             return
         if self.state is CounterState.DATA_LOST and symptom is Symptom.DATA_LOST:
             return
-        self.changes.append(CounterStateChange(now, self.state, new, symptom, hidden))
+        self.changes.append(CounterStateChange(now, self.state, new_state, symptom, hidden))
         del self.changes[:-MAX_UNREAD_CHANGES]
-        self.state, self._changed_at = new, now
+        self.state, self._changed_at = new_state, now
 
     def _find_symptom(self, now: float, unreachable: bool, hidden: tuple[int, ...]) -> Symptom:
         self._diagnosis.update_hidden(now, hidden)
@@ -270,34 +271,34 @@
         return Symptom.SLOW_REPLIES if self._replies.is_slow else Symptom.HEALTHY
 
     def _update_visibility(self, now: float, unreachable: bool, suspected: frozenset[int]) -> None:
-        """Change the visibility: at once to less, and back to more only some time after the last change."""
+        """Decrease the visibility at once; increase it only MIN_STATE_DURATION_MS after the last change."""
         visibility = self.visibility
         presumed_dead = suspected if self.state is CounterState.GATEWAY_DEAD else frozenset()
-        old = (visibility.counter_unreachable, visibility.hidden, visibility.presumed_dead)
-        if (unreachable, suspected, presumed_dead) == old:
+        old_view = (visibility.counter_unreachable, visibility.hidden, visibility.presumed_dead)
+        if (unreachable, suspected, presumed_dead) == old_view:
             return
         newly_suspected = suspected - visibility.hidden
         lost_visibility = (unreachable and not visibility.counter_unreachable) or bool(newly_suspected)
-        if unreachable:  # who was visible before need not be when the counter is back, and is not hidden yet
+        if unreachable:  # heartbeats from before do not show who is visible when the counter is back
             self.peers.expire_all()
             self._unreachable_at = now
         if lost_visibility:
             last_success_at = self._replies.last_success_at
-            since = min(
+            hidden_since = min(
                 (self.peers.last_heartbeat_at(gateway, now) for gateway in newly_suspected),
                 default=last_success_at,
             )
-            since = max(since, now - MAX_HIDDEN_USE_MS)
+            hidden_since = max(hidden_since, now - MAX_HIDDEN_USE_MS)
             unreachable = unreachable or visibility.counter_unreachable
             hidden = suspected | visibility.hidden
-            visibility.update_view(now, unreachable, hidden, presumed_dead, now - since)
+            visibility.update_view(now, unreachable, hidden, presumed_dead, now - hidden_since)
             return
-        held = now - visibility.changed_at >= MIN_STATE_DURATION_MS
-        if held or (not unreachable and visibility.counter_unreachable and suspected):
+        is_settled = now - visibility.changed_at >= MIN_STATE_DURATION_MS
+        if is_settled or (not unreachable and visibility.counter_unreachable and suspected):
             visibility.update_view(now, unreachable, suspected, presumed_dead, 0.0)
 
     def all_visible_until(self, now: float, first_gateway: int, gateway_set_size: int) -> float:
-        """Until when all others of a gateway set surely used this gateway's counter."""
+        """The last time at which all others of a gateway set were known to use the same counter as this one."""
         return self.peers.all_visible_until(now, first_gateway, gateway_set_size)
 
     def take_changes(self) -> list[CounterStateChange]:
--- a/badgeryoke/decisions/counter_health/heartbeat_schedule.py
+++ b/badgeryoke/decisions/counter_health/heartbeat_schedule.py
@@ -9,14 +9,14 @@
     HEARTBEAT_INTERVAL_MS,
 )
 
-MIN_HEARTBEAT_GAP_MS = 0.25 * HEARTBEAT_INTERVAL_MS  # between two heartbeats
-BACKOFF_MULTIPLIER = 2.0  # of the wait for the next heartbeat, where one was rejected by a full queue
-MAX_BACKOFF = 8.0  # of the heartbeat interval
+MIN_HEARTBEAT_GAP_MS = 0.25 * HEARTBEAT_INTERVAL_MS
+BACKOFF_MULTIPLIER = 2.0  # growth of the heartbeat interval when a full queue rejects a heartbeat
+MAX_BACKOFF = 8.0  # as a multiple of the heartbeat interval
 
 
 class HeartbeatSchedule:
-    """Aligns heartbeats with the wall clock, each gateway's at a phase of its own, so that every other gateway
-    sends one between two readings of this one."""
+    """Aligns heartbeats with the wall clock at a different phase for each gateway, so that every other gateway
+    sends a heartbeat between two readings by this one."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         slots = min(gateway_count, GATEWAYS_PER_REGISTER)
@@ -30,11 +30,11 @@
         return self._backoff > 1.0
 
     def back_off(self) -> None:
-        """Wait longer for the next heartbeat: customers' calls need the counter's capacity more."""
+        """Increase the interval: customers' calls have precedence at an overloaded counter."""
         self._backoff = min(self._backoff * BACKOFF_MULTIPLIER, MAX_BACKOFF)
 
     def reset_backoff(self) -> None:
-        """Send at every interval again."""
+        """Return to the normal interval."""
         self._backoff = 1.0
 
     def next_at(self, now: float) -> float:
@@ -42,12 +42,12 @@
         backoff_ms = HEARTBEAT_INTERVAL_MS * self._backoff
         interval_number = math.floor((now - self._phase_ms) / HEARTBEAT_INTERVAL_MS) + 1
         at = interval_number * HEARTBEAT_INTERVAL_MS + self._phase_ms
-        if at - now < MIN_HEARTBEAT_GAP_MS:  # this one came early, by a timer or a clock that was set back
+        if at - now < MIN_HEARTBEAT_GAP_MS:  # the timer fired early, or the clock was set back
             at += HEARTBEAT_INTERVAL_MS
         return at if backoff_ms <= HEARTBEAT_INTERVAL_MS else at + backoff_ms - HEARTBEAT_INTERVAL_MS
 
     def start(self, now: float) -> bool:
-        """Begin a heartbeat; False where the last was just now, as when a clock was set back."""
+        """Begin a heartbeat; False where the last one is too recent, for instance after the clock was set back."""
         if now - self._heartbeat_at < MIN_HEARTBEAT_GAP_MS:
             return False
         self._heartbeat_at = now
--- a/badgeryoke/decisions/counter_health/hidden_gateways.py
+++ b/badgeryoke/decisions/counter_health/hidden_gateways.py
@@ -1,4 +1,4 @@
-"""Why gateways are hidden: whether they are dead, or on another side of a partition."""
+"""Decides whether hidden gateways are dead or on another side of a partition."""
 
 from __future__ import annotations
 
@@ -9,30 +9,31 @@
     RequestRateMonitor,
 )
 
-# Until a partition is told from a dead gateway.  Clients leave a dead gateway within 3 s; then their number is
-# watched for longer than a customer's traffic takes to move between gateways, which would look the same.
+# How long gateways must be hidden before a partition is distinguished from a dead gateway.  Clients leave a dead
+# gateway within 3 s.  The rest is longer than a customer's traffic takes to move between gateways, which would look
+# the same.
 PARTITION_DECISION_MS = 15_000.0
 
 
 class HiddenGatewayDiagnosis:
-    """Since when gateways are hidden, and whether their clients have moved here since."""
+    """Tracks since when gateways are hidden, and whether their clients have moved here since."""
 
     def __init__(self) -> None:
         self.request_rate = RequestRateMonitor()
         self._hidden_since: dict[int, float] = {}
 
     def update_hidden(self, now: float, hidden: tuple[int, ...]) -> None:
-        """Follow which gateways are hidden now."""
+        """Update which gateways are hidden now."""
         for gateway in list(self._hidden_since):
             if gateway not in hidden:
                 del self._hidden_since[gateway]
         if hidden and not self._hidden_since:
-            self.request_rate.mark_silence()
+            self.request_rate.set_usual_rate()
         for gateway in hidden:
             self._hidden_since.setdefault(gateway, now)
 
     def find_symptom(self, now: float, hidden_count: int, known_count: int) -> Symptom:
-        """The symptom where at least one of the known neighbours is hidden."""
+        """The symptom; at least one known neighbour must be hidden."""
         if hidden_count == known_count and hidden_count > 1:
             return Symptom.ALL_HIDDEN
         if now - min(self._hidden_since.values()) < PARTITION_DECISION_MS:
--- a/badgeryoke/decisions/counter_health/monitored_policy.py
+++ b/badgeryoke/decisions/counter_health/monitored_policy.py
@@ -1,8 +1,8 @@
-"""The decision engine together with health checks of the counter: the same events in, the same actions out.
+"""The decision engine combined with health checks of the counter, with the same events and actions.
 
-A host that wants quotas to hold while the counter is lost uses this in place of `policy.engine.DecisionEngine`;
-nothing else changes for it.  The detector's own calls and timers are among the engine's, and are recognized
-by counter name and timer token.
+A host that needs quotas to hold while the counter is lost uses this in place of `policy.engine.DecisionEngine`,
+without further changes.  The detector's calls and timers are mixed with the engine's, and are recognized by
+counter name and timer token.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 )
 from badgeryoke.decisions.policy.engine import DecisionEngine
 
-FIRST_DETECTOR_TOKEN = 1 << 62  # of the detector's timers; the decision engine counts from 1
+FIRST_DETECTOR_TOKEN = 1 << 62  # the detector's timers; the decision engine's tokens count from 1
 
 
 class MonitoredEngine:
@@ -40,7 +40,7 @@
         self, settings: Settings, seed: int, engine_type: type[DecisionEngine] = DecisionEngine
     ) -> None:
         if not settings.has_counter:
-            raise ValueError("setting family_info.has_counter: a watch needs a counter")
+            raise ValueError("setting family_info.has_counter: counter health checks need a counter")
         self.engine = engine_type(settings, seed)
         self.detector = CounterHealthDetector(
             settings.gateway_index, settings.gateway_count, settings.counter_timeout_ms
@@ -57,7 +57,7 @@
 
     @property
     def counter_state(self) -> CounterState:
-        """What the counter is presumed to be."""
+        """The presumed state of the counter."""
         return self.detector.state
 
     def take_changes(self) -> list[CounterStateChange]:
@@ -66,7 +66,7 @@
 
     def _units_since_visible(self, customer: int) -> float:
         visibility = self.detector.visibility
-        return self._guard.units_since(customer, visibility.changed_at - visibility.unseen_ms)
+        return self._guard.units_since(customer, visibility.changed_at - visibility.undetected_ms)
 
     def update_settings(self, settings: Settings) -> None:
         """Take up new settings."""
--- a/badgeryoke/decisions/counter_health/peer_heartbeats.py
+++ b/badgeryoke/decisions/counter_health/peer_heartbeats.py
@@ -1,6 +1,6 @@
-"""The failure detector: how many heartbeats of each neighbour gateway have been missed.
+"""The failure detector: counts the missed heartbeats of each neighbour gateway.
 
-A gateway learns of another only whether its digit in the presence register still grows.
+All that a gateway learns of another is whether its digit in the presence register still grows.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 )
 
 MAX_NEIGHBOUR_DISTANCE = 3  # a customer's gateway set spans no more than four gateways
-SUSPECT_HEARTBEATS = 0.9  # a gateway is suspected after so many missed heartbeats, ...
-HIDDEN_HEARTBEATS = 1.9  # ... and reported as hidden after so many
-SLOW_COUNTER_HEARTBEATS = 8.0  # both, while the counter is slow: calls are late, and all make fewer
+SUSPECT_HEARTBEATS = 0.9  # missed heartbeats after which a gateway is suspected
+HIDDEN_HEARTBEATS = 1.9  # missed heartbeats after which it is reported as hidden
+SLOW_COUNTER_HEARTBEATS = 8.0  # used for both while the counter is slow: calls are late, and fewer are made
 
 
 class PeerHeartbeats:
-    """The last heartbeats that this gateway has read of others."""
+    """The last heartbeats of other gateways that this gateway has read."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index, self.gateway_count = gateway_index, gateway_count
@@ -30,45 +30,45 @@
         )
         self.group = gateway_index // GATEWAYS_PER_REGISTER
         other_groups = sorted({number // GATEWAYS_PER_REGISTER for number in self.neighbours} - {self.group})
-        # The own group's register is read every other time, where there are others.
+        # With neighbours in other groups, every second reading is of the own group's register.
         self.group_rotation: tuple[int, ...] = tuple(
-            group for other in other_groups for group in (self.group, other)
+            group for other_group in other_groups for group in (self.group, other_group)
         ) or (self.group,)
         self.heartbeats_per_reading = {
             gateway: self._reading_interval(gateway) for gateway in self.neighbours
         }
         self.started_at = math.nan
-        self.known_gateways: dict[int, bool] = {}  # that have been alive at some time
-        self._digits: dict[int, int] = {}  # as last read, by gateway
-        self._digit_periods: dict[int, int] = {}  # the periods in which they were read
-        self._read_at: dict[int, float] = {}  # when a group's register was last read
-        self._last_heartbeat_at: dict[int, float] = {}  # when a digit was last seen to grow
+        self.known_gateways: dict[int, bool] = {}  # gateways that have been alive at some time
+        self._digits: dict[int, int] = {}  # by gateway: the digit last read
+        self._digit_periods: dict[int, int] = {}  # by gateway: the period in which it was read
+        self._read_at: dict[int, float] = {}  # by group: when its register was last read
+        self._last_heartbeat_at: dict[int, float] = {}  # by gateway: when its digit was last read as grown
 
     def _reading_interval(self, gateway: int) -> float:
-        """Heartbeats between two of a gateway's, or between two readings of them, whichever is longer."""
+        """The heartbeat intervals between two heartbeats of a gateway or two readings of them, whichever is longer."""
         rotation = len(self.group_rotation)
         readings = rotation if gateway // GATEWAYS_PER_REGISTER != self.group else min(rotation, 2)
         return max(1.0 if self.gateway_count <= GATEWAYS_PER_REGISTER else 2.0, float(readings))
 
     def record_reading(self, now: float, group: int) -> None:
-        """Note that a group's register of the present period was read."""
+        """Record that a group's register of the present period was read."""
         self._read_at[group] = now
 
     def record_members(self, group: int, digits: tuple[int, ...]) -> None:
-        """Take in a membership register: who has been alive."""
+        """Record the gateways that a membership register shows to have been alive."""
         for index, digit in enumerate(digits[:GATEWAYS_PER_REGISTER]):
             if digit:
                 self.known_gateways[group * GATEWAYS_PER_REGISTER + index] = True
 
     def record_digits(self, now: float, group: int, period: int, digits: tuple[int, ...]) -> None:
-        """Take in the digits of a heartbeat register."""
+        """Record the digits of a heartbeat register."""
         for index, digit in enumerate(digits[:GATEWAYS_PER_REGISTER]):
             gateway = group * GATEWAYS_PER_REGISTER + index
             if gateway == self.gateway_index or gateway >= self.gateway_count or not digit:
                 continue
             self.known_gateways[gateway] = True
             last_period = self._digit_periods.get(gateway, -1)
-            if gateway not in self._last_heartbeat_at:  # the digit may not have grown for long
+            if gateway not in self._last_heartbeat_at:  # its digit may have stopped growing long ago
                 self._last_heartbeat_at[gateway] = self.started_at
             elif period > last_period or (period == last_period and digit != self._digits[gateway]):
                 self._last_heartbeat_at[gateway] = now
@@ -76,7 +76,7 @@
                 self._digits[gateway], self._digit_periods[gateway] = digit, period
 
     def missed_heartbeats(self, now: float, gateway: int) -> float:
-        """How many heartbeats of a known gateway were missed; 0 where it was never alive."""
+        """The number of missed heartbeats of a gateway; 0 where it was never alive."""
         if not self.known_gateways.get(gateway):
             return 0.0
         now = self._read_at.get(gateway // GATEWAYS_PER_REGISTER, now)
@@ -88,7 +88,7 @@
         if period_start - 1.5 * interval_ms <= last_heartbeat_at < period_start and (
             now - period_start < interval_ms
         ):
-            return 0.0  # a new period's register starts at 0, and the other has one interval to reach it
+            return 0.0  # a new period's register starts at 0: the gateway has one interval for its first heartbeat
         return (now - last_heartbeat_at) / interval_ms
 
     def find_hidden(
@@ -96,7 +96,7 @@
     ) -> tuple[frozenset[int], tuple[int, ...]]:
         """The neighbours that are suspected, and those that are reported as hidden.
 
-        `unreachable_at`: when the counter was last unreachable; each neighbour then has time to send again.
+        `unreachable_at`: when the counter was last unreachable; neighbours get time after that to send again.
         """
         suspect_after = SLOW_COUNTER_HEARTBEATS if is_slow else SUSPECT_HEARTBEATS
         hidden_after = SLOW_COUNTER_HEARTBEATS if is_slow else HIDDEN_HEARTBEATS
@@ -112,24 +112,26 @@
         return suspected, hidden
 
     def known_neighbour_count(self) -> int:
-        """How many neighbours have been alive at some time."""
+        """The number of neighbours that have been alive at some time."""
         return sum(bool(self.known_gateways.get(gateway)) for gateway in self.neighbours)
 
     def last_heartbeat_at(self, gateway: int, default: float) -> float:
-        """When a gateway's digit was last seen to grow."""
+        """When a gateway's digit was last read as grown; `default` where it was never read."""
         return self._last_heartbeat_at.get(gateway, default)
 
     def expire_all(self) -> None:
-        """Take no earlier heartbeat as proof of visibility any more."""
+        """Discard all heartbeats so far as evidence that gateways are visible."""
         self._last_heartbeat_at.update(dict.fromkeys(self._last_heartbeat_at, -math.inf))
 
     def all_visible_until(self, now: float, first_gateway: int, gateway_set_size: int) -> float:
-        """Until when all others of a gateway set surely used this gateway's counter: their last heartbeat
-        that was seen, less the time since the reading before.  Now, where none was ever alive."""
-        since = now
-        for gateway in self.neighbours:  # six at most, however large the set is
+        """The last time at which all others of a gateway set were known to use the same counter as this one: the
+        earliest of their last heartbeats, less one reading interval.  `now` where none was ever alive."""
+        visible_until = now
+        for gateway in self.neighbours:  # at most six, however large the set is
             in_set = (gateway - first_gateway) % self.gateway_count < gateway_set_size
             if in_set and self.known_gateways.get(gateway):
                 last = self._last_heartbeat_at.get(gateway, self.started_at)
-                since = min(since, last - self.heartbeats_per_reading[gateway] * HEARTBEAT_INTERVAL_MS)
-        return since
+                visible_until = min(
+                    visible_until, last - self.heartbeats_per_reading[gateway] * HEARTBEAT_INTERVAL_MS
+                )
+        return visible_until
--- a/badgeryoke/decisions/counter_health/register_calls.py
+++ b/badgeryoke/decisions/counter_health/register_calls.py
@@ -22,12 +22,12 @@
     group: int
     kind: RegisterKind
     period: int
-    is_heartbeat: bool  # it adds to the own digit
-    published_generation: int = 0  # generations that it adds; 0: none
+    is_heartbeat: bool  # it increments this gateway's digit
+    published_generations: int = 0  # generations that it adds
 
 
 def heartbeat_call(group: int, period: int, digit_units: float, generations: int = 0) -> RegisterCall:
-    """A heartbeat, or with no units a mere reading, and the generations to publish with it."""
+    """A heartbeat, or with 0 units only a reading, and the generations to publish with it."""
     return RegisterCall(
         register_name(RegisterKind.HEARTBEAT, group, period),
         digit_units + generations * GENERATION_UNIT,
@@ -41,6 +41,6 @@
 
 
 def membership_call(group: int, period: int, units: float) -> RegisterCall:
-    """Register this gateway as a member of its group, or with no units read who the members are."""
+    """Register this gateway as a member of its group, or with 0 units only read the members."""
     name = register_name(RegisterKind.MEMBERSHIP, group, period)
     return RegisterCall(name, units, NAME_LIFETIME_MS, group, RegisterKind.MEMBERSHIP, period, False)
--- a/badgeryoke/decisions/counter_health/reply_monitor.py
+++ b/badgeryoke/decisions/counter_health/reply_monitor.py
@@ -1,4 +1,4 @@
-"""Whether the counter replies at all, and in time."""
+"""Monitors whether the counter replies at all, and in time."""
 
 from __future__ import annotations
 
@@ -6,11 +6,14 @@
 
 from badgeryoke.decisions.counter_health.presence_register import HEARTBEAT_INTERVAL_MS
 
-UNREACHABLE_MS = 400.0  # without a successful call for so long ...
-UNREACHABLE_MIN_FAILURES = 3  # ... and after so many failed ones the counter is unreachable
-UNRESPONSIVE_MS = 1500.0  # without a reply for so long it is dead even though connections are accepted
-SLOW_DELAY_FRACTION = 0.25  # of the timeout: the counter is slow from this mean delay on, ...
-RECOVERED_DELAY_FRACTION = 0.12  # ... until the mean is down to this
+# The counter is unreachable after this time without a successful call and this number of failed calls.
+UNREACHABLE_MS = 400.0
+UNREACHABLE_MIN_FAILURES = 3
+UNRESPONSIVE_MS = 1500.0  # without a reply for this long, the counter is dead even if it accepts connections
+SLOW_DELAY_FRACTION = 0.25  # of the timeout: the counter is slow where the mean delay exceeds this
+RECOVERED_DELAY_FRACTION = (
+    0.12  # of the timeout: a slow counter has recovered where the mean delay falls to this
+)
 DELAY_GAIN = 0.2  # EWMA weight of one reply in the mean delay
 
 
@@ -23,10 +26,10 @@
         self.is_slow = False
         self._failure_count = 0
         self._refused_count = 0
-        self._mean_delay = 0.0  # in parts of the timeout
+        self._mean_delay = 0.0  # as a fraction of the timeout
 
     def record(self, now: float, succeeded: bool, rtt_ms: float, connect_failed: bool) -> None:
-        """Take in the outcome of one call.  A refused connection says nothing of the counter's speed."""
+        """Process the outcome of one call.  A refused connection does not change the mean delay."""
         if succeeded:
             self.last_success_at = now
             self._failure_count = self._refused_count = 0
@@ -40,12 +43,12 @@
         self.is_slow = self._mean_delay > limit
 
     def is_unreachable(self, now: float) -> bool:
-        """Whether calls fail; one failure fewer is enough when a whole heartbeat went by without success."""
+        """Whether calls fail; after two heartbeat intervals without success one failure fewer is enough."""
         silence_ms = now - self.last_success_at
         min_failures = UNREACHABLE_MIN_FAILURES - (silence_ms > 2 * HEARTBEAT_INTERVAL_MS)
         return self._failure_count >= min_failures and silence_ms >= UNREACHABLE_MS
 
     def is_dead(self, now: float) -> bool:
-        """Whether an unreachable counter is dead: it refuses connections, or has not replied for long."""
+        """Whether an unreachable counter is dead: it refuses connections, or has not replied for UNRESPONSIVE_MS."""
         refused = self._refused_count >= UNREACHABLE_MIN_FAILURES
         return refused or now - self.last_success_at >= UNRESPONSIVE_MS
--- a/badgeryoke/decisions/counter_health/visibility.py
+++ b/badgeryoke/decisions/counter_health/visibility.py
@@ -1,15 +1,15 @@
-"""What may be granted, by which of a customer's gateways are visible.
-
-While all are visible, a customer's quota is one, synchronized through the counter's totals.  A hidden gateway
-may be granting on the other side of a partition, so its even share is left to it: k visible gateways of a set
-of g hold k/g of rate and burst among them, and the shares of all sides sum to no more than the quota.  A
-gateway that cannot reach the counter is isolated: 1/g.
-
-The share is a token bucket of its own behind the quota's (`GcraBucket.partial_share`), which is charged with
-the same units.  It starts from the same theoretical arrival time, and so equally full, as a fraction of its
-burst.  When all are visible again it is dropped, and the quota's bucket goes on from the emptier of the two:
-what the others were left counts as used, whether they used it or not.  So what the first total after that
-shows of their use is not charged a second time.
+"""The share of a customer's quota that a gateway may grant, by which of the customer's gateways are visible.
+
+While all gateways are visible, they share the whole quota, synchronized through the counter's totals.  A hidden
+gateway may be granting on the other side of a partition, so its even share is left to it: k visible gateways of
+a set of g share k/g of rate and burst, and the shares of all sides sum to no more than the quota.  A gateway that
+cannot reach the counter is isolated and has a share of 1/g.
+
+The share is a second token bucket behind the quota's (`GcraBucket.partial_share`), which is charged with the
+same units.  It starts from the same theoretical arrival time, so that both are filled to the same fraction of
+their bursts.  When all gateways are visible again it is dropped, and the quota's bucket continues from the
+emptier of the two: the share that was left to the others counts as used, whether they used it or not.  The
+others' use in the first total after that is therefore not charged again.
 """
 
 from __future__ import annotations
@@ -21,39 +21,36 @@
 from badgeryoke.decisions.quota_protocols import BucketT, CustomerQuota
 
 PROBE_INTERVAL_MS = 1000.0  # between two calls for a customer whose partition of the counter is unreachable
-PARTITION_TIMEOUT_MS, PARTITION_MIN_FAILURES = (
-    400.0,
-    2,
-)  # a customer's calls fail for so long, and so many: its name's part is gone
-MAX_FAILING_CUSTOMERS = 20_000  # whose failed calls are remembered
-CEILING_USED_FRACTION = 0.95  # of a ceiling that is granted where a gateway is presumed dead
-NEW_GATEWAY_MS = 20_000.0  # so soon after a restart it may have served the customer before: no new burst
+# After calls failed for this long and this often, the customer's partition of the counter is unreachable.
+PARTITION_TIMEOUT_MS, PARTITION_MIN_FAILURES = 400.0, 2
+MAX_FAILING_CUSTOMERS = 20_000  # customers whose failed calls are counted
+CEILING_USED_FRACTION = 0.95  # the part of a ceiling that is granted where a gateway is presumed dead
+# For this long after a start, a new quota gets no burst: the gateway may have granted it before a restart.
+NEW_GATEWAY_MS = 20_000.0
 
 
 class Visibility:
-    """Which gateways are visible to this one; `version` grows with every change of it."""
+    """Which gateways are visible to this one; each change increments `version`."""
 
     def __init__(self, gateway_index: int, gateway_count: int) -> None:
         self.gateway_index, self.gateway_count = gateway_index, gateway_count
-        self.version = 0  # 0: there was never any fault
-        self.epoch = 0  # part of customers' counter names: grows when the counter has lost data
-        self.counter_unreachable = False  # no calls to the counter succeed
+        self.version = 0  # 0: no fault has occurred yet
+        self.epoch = 0  # part of customers' counter names; grows when the counter has lost data
+        self.counter_unreachable = False  # no call to the counter succeeds
         self.hidden: frozenset[int] = frozenset()  # gateways whose heartbeats are missing
-        self.presumed_dead: frozenset[int] = (
-            frozenset()
-        )  # those of them that are dead rather than partitioned
-        self.started_at = -math.inf  # of this gateway
-        # Units that this gateway sent for a customer since all gateways were surely visible.
+        # Hidden gateways that are presumed dead rather than partitioned.
+        self.presumed_dead: frozenset[int] = frozenset()
+        self.started_at = -math.inf  # when this gateway started
+        # Units that this gateway has sent for a customer since all gateways were last known to be visible.
         self.units_since_visible: Callable[[int], float] = lambda customer: 0.0
         self.changed_at = 0.0  # when the present version began
-        self.unseen_ms = 0.0  # how long before that the hidden gateways' last heartbeats came
-        self._failed_calls: dict[int, tuple[int, float]] = {}  # customers' calls failed since a good one, ...
-        self._unreachable_customers: set[int] = (
-            set()
-        )  # ... and those who are taken to have no counter: one part of it is gone
-        self._rejoined_customers: set[int] = (
-            set()
-        )  # customers whose first total after a rejoin is still to come
+        self.undetected_ms = 0.0  # from the hidden gateways' last heartbeats until `changed_at`
+        # By customer: failed calls since the last success, and the time of the first of them or of the last probe.
+        self._failed_calls: dict[int, tuple[int, float]] = {}
+        # Customers whose partition of the counter is presumed unreachable.
+        self._unreachable_customers: set[int] = set()
+        # Customers without a total since all gateways became visible again.
+        self._rejoined_customers: set[int] = set()
 
     def update_view(
         self,
@@ -61,9 +58,9 @@
         counter_unreachable: bool,
         hidden: frozenset[int],
         presumed_dead: frozenset[int],
-        unseen_ms: float,
+        undetected_ms: float,
     ) -> None:
-        """Take up another view of the counter and the gateways."""
+        """Replace the view of the counter and the gateways."""
         if (counter_unreachable, hidden, presumed_dead) == (
             self.counter_unreachable,
             self.hidden,
@@ -71,24 +68,24 @@
         ):
             return
         self.counter_unreachable, self.hidden, self.presumed_dead = counter_unreachable, hidden, presumed_dead
-        self.unseen_ms, self.changed_at = unseen_ms, now
+        self.undetected_ms, self.changed_at = undetected_ms, now
         self.version += 1
         self._rejoined_customers.clear()
-        self._unreachable_customers.clear()  # these were about single partitions of the counter
+        self._unreachable_customers.clear()  # both apply only while the rest of the counter is reachable
         self._failed_calls.clear()
 
     def start_epoch(self, epoch: int) -> None:
-        """Let customers' counter names belong to another epoch from now on."""
+        """Use another epoch in customers' counter names from now on."""
         self.epoch = epoch
         self.version = max(self.version, 1)
 
     def visible_share(
         self, first_gateway: int, gateway_set_size: int, ceiling_ratio: float = math.inf
     ) -> float:
-        """The share of a set's quota, above 0, up to 1, that the visible gateways hold together.
+        """The share of a gateway set's quota, above 0 and up to 1, that the visible gateways hold together.
 
-        `ceiling_ratio`: the plan's ceiling, in quotas.  The share of a gateway that is presumed dead is used
-        by those that are left, but under a ceiling only so far that it holds even if the presumption is wrong.
+        `ceiling_ratio`: the plan's ceiling as a multiple of its quota.  The remaining gateways use the share of
+        a gateway that is presumed dead, but only so far that the ceiling holds even if the presumption is wrong.
         """
         if self.counter_unreachable:
             return 1.0 / gateway_set_size
@@ -101,7 +98,7 @@
         return visible
 
     def apply(self, now: float, quota: CustomerQuota[BucketT]) -> None:
-        """Bring a customer's buckets in line with this version."""
+        """Adjust a customer's buckets to the present view."""
         plan, bucket, old_partial = quota.plan, quota.bucket, quota.bucket.partial_share
         if plan.rate <= 0:
             return
@@ -130,13 +127,12 @@
         if old_partial is not None:
             tat = max(tat, old_partial.tat)
         elif tat > self.changed_at:
-            # It was in use while the others were hidden already, at about the whole rate instead of the
-            # share's.  Each side pays back its own excess.
+            # Before the others were detected as hidden, the quota was granted at about its whole rate instead
+            # of the share's.  Each side pays back its own excess.
             excess = self.units_since_visible(quota.customer) * bucket.interval_ms
-            if not self.is_isolated(
-                quota
-            ):  # unheard, little was sent; with a half's answers, up to the whole
-                excess = max(excess, self.unseen_ms)
+            # An isolated gateway sent little without replies; a side with replies may have sent the whole quota.
+            if not self.is_isolated(quota):
+                excess = max(excess, self.undetected_ms)
             excess *= 1.0 / share - 1.0
             tat += min(excess, bucket.tolerance)
         partial_bucket = copy(bucket)
@@ -145,14 +141,14 @@
         bucket.partial_share = partial_bucket
 
     def is_isolated(self, quota: CustomerQuota[BucketT]) -> bool:
-        """Whether no total can be read for this customer."""
+        """Whether this customer's totals cannot be read."""
         return self.counter_unreachable or quota.customer in self._unreachable_customers
 
     def suppresses_calls(self, now: float, quota: CustomerQuota[BucketT]) -> bool:
-        """Whether no call is made for a customer, since it would fail.
+        """Whether calls for a customer are suppressed, since they would fail.
 
-        Where only its partition of the counter is unreachable, a probe is made from time to time; where the
-        whole counter is, heartbeats are the probes.
+        Where only the customer's partition of the counter is unreachable, one call in PROBE_INTERVAL_MS is let
+        through as a probe; where the whole counter is, heartbeats are the probes.
         """
         if self.counter_unreachable:
             return True
@@ -164,8 +160,8 @@
         return not probe_due
 
     def record_reply(self, now: float, quota: CustomerQuota[BucketT], succeeded: bool) -> None:
-        """Process the outcome of a customer's call.  Where all fail for a while though other calls succeed,
-        the partition of the counter that has the customer's name is unreachable."""
+        """Process the outcome of a customer's call.  Where a customer's calls keep failing while others succeed,
+        the partition of the counter that holds the customer's name is presumed unreachable."""
         customer = quota.customer
         if succeeded:
             self._failed_calls.pop(customer, None)
@@ -182,15 +178,14 @@
         ):
             self._unreachable_customers.add(customer)
             self.apply(now, quota)
-        if (
-            len(self._failed_calls) > MAX_FAILING_CUSTOMERS
-        ):  # the oldest is taken for reachable until its next failure
+        # The oldest entry is dropped, and its customer counts as reachable until its next failure.
+        if len(self._failed_calls) > MAX_FAILING_CUSTOMERS:
             oldest = next(iter(self._failed_calls))
             del self._failed_calls[oldest]
             self._unreachable_customers.discard(oldest)
 
     def others_units(self, quota: CustomerQuota[BucketT], others: float) -> float:
-        """What to charge of the others' units in a total: nothing in the first after all are visible again."""
+        """The others' units to charge from a total: 0 for the first total after all are visible again."""
         if quota.customer in self._rejoined_customers:
             self._rejoined_customers.discard(quota.customer)
             return 0.0
--- a/tests/decisions/counter_health/test_state_machine.py
+++ b/tests/decisions/counter_health/test_state_machine.py
@@ -1,7 +1,8 @@
-"""A state machine over the watches of one fleet: any order of beats, losses, splits, heals, swaps, restarts.
+"""A hypothesis state machine over the detectors of one fleet: any order of heartbeats, partitions, failovers with or
+without loss of data, isolated gateways and restarts.
 
-What must hold all along: the parts that the sides grant sum to one at most once a loss can have been seen, no
-belief flaps, and when all is quiet again everybody is sound and is granted the whole.
+Invariants: the shares that the sides grant sum to at most one once a loss has been detected, and no state changes
+twice within the minimum duration.  After all faults have ended, every detector is healthy and grants the whole quota.
 """
 
 from __future__ import annotations
@@ -62,7 +63,7 @@
 
     @rule(forget=st.booleans())
     def swap(self, forget: bool) -> None:
-        if self.restarted and forget:  # the muster that it needs would be gone: the open case below
+        if self.restarted and forget:  # the known failure below: the membership register would be lost
             return
         self.forgot = self.forgot or forget
         for totals in (self.fleet.totals, *self.fleet.partitions.values()):
@@ -78,7 +79,7 @@
     @rule(me=st.integers(0, GATEWAYS - 1))
     def restart(self, me: int) -> None:
         if self.fleet.partitions or self.fleet.isolated or self.forgot:
-            return  # the muster may be gone, or half of it: the open case below
+            return  # the known failure below: the membership register may be incomplete
         self.fleet.detectors[me] = CounterHealthDetector(me, GATEWAYS, 50.0)
         self.fleet.state_changes = [row for row in self.fleet.state_changes if row[1] != me]
         self.restarted = True
@@ -126,21 +127,24 @@
 
 
 def test_a_restart_and_a_forgetful_counter_while_one_hears_nothing() -> None:
-    """The smallest case that the state machine finds where restarts and swaps meet: listed in
-    KNOWN-RED.txt."""
+    """Known failure, listed in KNOWN-RED.txt: the smallest case that the state machine finds where a restart and a
+    loss of the counter's data coincide."""
     fleet = DetectorFleet(GATEWAYS)
     fleet.run(6000.0)
     fleet.detectors[1] = CounterHealthDetector(1, GATEWAYS, 50.0)
     fleet.isolated = {0}
     fleet.totals.clear()
     fleet.run(3740.0)
-    parts = {me: watch.visibility.visible_share(0, GATEWAYS) for me, watch in fleet.detectors.items()}
-    assert parts[0] + max(parts[1], parts[2]) <= 1.0 + 1e-9
+    shares = {
+        gateway: detector.visibility.visible_share(0, GATEWAYS)
+        for gateway, detector in fleet.detectors.items()
+    }
+    assert shares[0] + max(shares[1], shares[2]) <= 1.0 + 1e-9
 
 
 def test_a_restart_and_two_isolations_in_a_row() -> None:
-    """The state machine finds this case in some draws: listed in KNOWN-RED.txt.  Nothing is lost here, the
-    restarted gateway and then another are isolated one after the other."""
+    """Known failure, listed in KNOWN-RED.txt, that the state machine finds in some draws: the counter loses no data,
+    but the restarted gateway and then another are isolated one after the other."""
     fleet = DetectorFleet(GATEWAYS)
     fleet.run(6000.0 + 2111.0)
     fleet.detectors[0] = CounterHealthDetector(0, GATEWAYS, 50.0)
--- a/tests/decisions/counter_health/test_worlds.py
+++ b/tests/decisions/counter_health/test_worlds.py
@@ -1,5 +1,5 @@
-"""The watch and the module together, in worlds that hypothesis makes up: whatever happens to the counter, the
-ceiling holds within its stated error and every try has one final answer."""
+"""Simulations of the decision engine with counter health checks, under faults that hypothesis generates: the ceiling
+holds within its error bound and every request has exactly one final answer."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 @st.composite
-def drawn_faults(draw: st.DrawFn) -> tuple[Fault, ...]:
-    """Up to six things that happen, in any order."""
-    made = []
+def fault_sequences(draw: st.DrawFn) -> tuple[Fault, ...]:
+    """Up to six faults, in any order."""
+    faults = []
     for _ in range(draw(st.integers(1, 6))):
         at = float(draw(st.integers(1000, 7000)))
         word = draw(
@@ -43,8 +43,8 @@
             target = "counter" if word == "slow" else "customers"
         elif word in ("kill", "start"):
             target = draw(st.sampled_from(("counter", "gateway")))
-        made.append(Fault(at, word, target, groups, amount, mode))
-    return tuple(sorted(made, key=lambda fault: fault.at_ms))
+        faults.append(Fault(at, word, target, groups, amount, mode))
+    return tuple(sorted(faults, key=lambda fault: fault.at_ms))
 
 
 @settings(
@@ -54,7 +54,7 @@
     phases=[Phase.generate],
     suppress_health_check=list(HealthCheck),
 )
-@given(drawn_faults(), st.integers(0, 2**16), st.floats(0.5, 7.0), st.floats(0.0, 200.0))
+@given(fault_sequences(), st.integers(0, 2**16), st.floats(0.5, 7.0), st.floats(0.0, 200.0))
 def test_any_order_of_faults_keeps_the_ceiling(
     happening: tuple[Fault, ...], seed: int, demand: float, skew: float
 ) -> None:
@@ -76,7 +76,8 @@
 def test_a_burst_from_full_buckets_during_a_partition_keeps_the_ceiling(
     spike: float, sides: tuple[tuple[int, ...], ...]
 ) -> None:
-    """Before anybody can have seen it, all sides spend: 18 times the quota overdrew ceilings by a half."""
+    """Guards against sends beyond the ceiling before the partition is detected: all sides use their buckets, and at
+    18 times the quota ceilings were exceeded by a half."""
     scenario = Scenario(
         "burst",
         length_ms=7000.0,
@@ -95,37 +96,39 @@
 
 
 def test_a_partition_without_health_checks_exceeds_the_quotas() -> None:
-    """The check can fail: the module alone does not notice a split."""
+    """Shows that the check can fail: the decision engine alone does not detect a partition."""
     scenario, _ = load("counter-split")
     scenario = replace(scenario, length_ms=20_000.0)
-    blind, seeing = play(replace(scenario, watch=False), 3), play(scenario, 3)
-    assert blind.verdict.beyond_share > 0.3 and seeing.verdict.beyond_share < 0.05
+    unmonitored, monitored = play(replace(scenario, watch=False), 3), play(scenario, 3)
+    assert unmonitored.verdict.beyond_share > 0.3 and monitored.verdict.beyond_share < 0.05
 
 
 def test_a_healed_partition_counts_each_unit_once() -> None:
-    """What the counter holds once its halves are one is what all gateways told it, of every name that lived
-    on both sides: nothing lost, nothing twice."""
+    """After the sides are merged, the total of every name that was live on both sides is the sum of all gateways'
+    reports."""
     scenario, _ = load("counter-split")
     world = World(scenario, 2)
-    told: dict[int, float] = {}
-    wrong: list[int] = []
+    reported_units: dict[int, float] = {}
+    mismatched: list[int] = []
     checked: list[int] = []
 
-    class Heard(CounterModel):
+    class RecordingCounter(CounterModel):
         def call(self, now: float, gateway: int, name: int, units: float, life_ms: float) -> Answer:
-            told[name] = told.get(name, 0.0) + units
+            reported_units[name] = reported_units.get(name, 0.0) + units
             return super().call(now, gateway, name, units, life_ms)
 
         def happen(self, now: float, fault: Fault) -> None:
-            alive = [
+            live_names = [
                 {name for name, (_, ends) in side[0].totals.items() if ends > now} for side in self._sides
             ]
             super().happen(now, fault)
             if fault.word == "heal":
-                held = self._sides[0][0].totals
-                checked.extend(set.intersection(*alive))
-                wrong.extend(name for name in checked if abs(held[name][0] - told[name]) > 1e-6)
+                totals = self._sides[0][0].totals
+                checked.extend(set.intersection(*live_names))
+                mismatched.extend(
+                    name for name in checked if abs(totals[name][0] - reported_units[name]) > 1e-6
+                )
 
-    world.counter.__class__ = Heard
+    world.counter.__class__ = RecordingCounter
     world.run()
-    assert len(checked) > 20 and not wrong
+    assert len(checked) > 20 and not mismatched
