--- a/badgeryoke/decisions/plan_schedule/plan_change.py
+++ b/badgeryoke/decisions/plan_schedule/plan_change.py
@@ -11,7 +11,7 @@
 
 
 def reconfigure_bucket(now: float, bucket: GcraBucket, rate: float, burst: float) -> None:
-    """Give a bucket a new rate and burst: used stays used, no free burst, and debt is limited."""
+    """Set a bucket's rate and burst: used units stay used, no free burst, and debt is limited."""
     old_burst, units = bucket.tolerance / bucket.interval_ms, bucket.capacity(now)
     bucket.configure(rate, burst)
     if rate <= 0:
@@ -22,12 +22,10 @@
 
 
 def apply_plan_change(now: float, quota: CustomerQuota[BucketT], plan: Plan, settings: Settings) -> None:
-    """Take up new limits while no call is in flight.  A period of another length has counter names of its
-    own, under which nothing has been reported yet; unreported units go there."""
-    quota.plan, quota.visibility_version = (
-        plan,
-        min(quota.visibility_version, 0),
-    )  # a watch brings its part of the new quota in line
+    """Apply new limits; no counter call may be in flight.  A period of another length has other counter names,
+    under which nothing has been reported yet; unreported units are reported there."""
+    # Version 0 makes `Visibility.apply` adjust the partial share to the new quota, where health checks are on.
+    quota.plan, quota.visibility_version = plan, min(quota.visibility_version, 0)
     reconfigure_bucket(now, quota.bucket, plan.rate, plan.burst)
     reconfigure_bucket(now, quota.own_bucket, plan.rate, plan.burst)
     if plan.ceiling_rate <= 0:
