--- a/tests/decisions/test_behaviour_digests.py
+++ b/tests/decisions/test_behaviour_digests.py
@@ -1,7 +1,6 @@
-"""Digests of what the decisions come to, recorded once: a change that only renames or moves must leave them
-equal.
+"""Digests of the decisions, recorded once: a change that only renames or moves code must not change them.
 
-The golden file is not made anew: a change that is meant to decide otherwise says so, and why, with the new
+The golden file is not regenerated: a change that is meant to alter decisions states so, and why, with the new
 entries.
 """
 
@@ -45,8 +44,8 @@
 from tests.support.policy_fleet import GatewayFleet
 
 GOLDEN = ROOT / "tests" / "golden" / "digests" / "decisions.json"
-LONGEST_MS = 30_000.0  # of a scenario is played, ...
-CLUSTER_MS = 13_000.0  # ... and of what its gateways share
+MAX_SCENARIO_MS = 30_000.0  # simulated time of a scenario
+MAX_CLUSTER_SCENARIO_MS = 13_000.0  # simulated time of a scenario whose gateways form a cluster
 
 # Settings ---------------------------------------------------------------------------------------------
 
@@ -135,7 +134,7 @@
         api.Plan("network", 30.0, 60.0, 0, 1.4, 0.0, 0.6, 40.0, 70.0, 4.0),
     ),
 )
-ALONE = replace(BUILD, gateway_count=1, must_subscribe=False)
+SINGLE_GATEWAY = replace(BUILD, gateway_count=1, must_subscribe=False)
 CAPPED = replace(
     LOAD,
     plans=(
@@ -143,11 +142,11 @@
         api.Plan("wide", 20.0, 30.0, 3, 1.0, 0.6, 0.2, 60.0, 120.0, 10.0),
     ),
 )
-# A full part of the headroom holds three units to the last bit: a request of three just fits.
-EVEN = replace(
+# A gateway's full share of the headroom is exactly three units, so that a request of three units just fits.
+EXACT_HEADROOM = replace(
     LOAD, max_request_units=3.0, plans=(api.Plan("even", 5.0, 10.0, 0, 1.0, 0.0, 0.3, 15.0, 20.0),)
 )
-SILENT, SOUND = (CounterTrouble.DEAD, CounterTrouble.UNREACHABLE), (CounterTrouble.NONE,)
+NO_REPLIES, NO_TROUBLE = (CounterTrouble.DEAD, CounterTrouble.UNREACHABLE), (CounterTrouble.NONE,)
 
 STREAMS = (
     Stream("load", 11, LOAD),
@@ -173,8 +172,8 @@
     Stream("load-without-counter", 15, replace(LOAD, has_counter=False), requests_a_second=90.0),
     Stream("load-three-modules", 16, LOAD, modules=3, events=12_000, requests_a_second=40.0, elsewhere=0.0),
     Stream("load-no-cancel", 17, replace(LOAD, can_cancel=False), server_trouble=0.4, work_ms=120.0),
-    Stream("load-sound", 18, LOAD, server_trouble=0.0, counter_trouble=SOUND),
-    Stream("load-counter-lost", 19, LOAD, counter_trouble=SILENT, requests_a_second=90.0),
+    Stream("load-sound", 18, LOAD, server_trouble=0.0, counter_trouble=NO_TROUBLE),
+    Stream("load-counter-lost", 19, LOAD, counter_trouble=NO_REPLIES, requests_a_second=90.0),
     Stream("load-failing", 34, LOAD, server_trouble=0.9),
     Stream(
         "load-failing-uncancelled", 35, replace(LOAD, can_cancel=False, gateway_count=12), server_trouble=0.8
@@ -189,12 +188,12 @@
         server_troubles=(ServerTrouble.SILENT,),
         work_ms=30.0,
         cores=8,
-        counter_trouble=SOUND,
+        counter_trouble=NO_TROUBLE,
     ),
     Stream("build", 21, BUILD, zones=("a", "b", "c"), work_ms=180.0),
     Stream("build-retuned", 22, BUILD, BUILD_CHANGED, zones=("a", "b", "c"), work_ms=180.0),
     Stream("build-streamed", 23, BUILD, work_ms=150.0, streamed=frozenset({"store", "status"})),
-    Stream("build-alone", 24, ALONE, work_ms=180.0, requests_a_second=90.0, spread=1, elsewhere=0.0),
+    Stream("build-alone", 24, SINGLE_GATEWAY, work_ms=180.0, requests_a_second=90.0, spread=1, elsewhere=0.0),
     Stream(
         "build-overload", 25, BUILD, work_ms=500.0, requests_a_second=120.0, server_trouble=0.5, events=10_000
     ),
@@ -209,7 +208,7 @@
     Stream(
         "build-silent",
         39,
-        replace(ALONE, plans=(api.Plan("free"),)),
+        replace(SINGLE_GATEWAY, plans=(api.Plan("free"),)),
         work_ms=60.0,
         cores=8,
         server_trouble=0.25,
@@ -221,7 +220,9 @@
     ),
     Stream("ceilings", 28, CAPPED, customers=8, spread=2, requests_a_second=90.0, elsewhere=2.0),
     Stream("ceilings-slow-servers", 29, CAPPED, customers=6, work_ms=200.0, requests_a_second=90.0),
-    Stream("ceilings-even", 30, replace(EVEN, has_counter=False), customers=200, requests_a_second=80.0),
+    Stream(
+        "ceilings-even", 30, replace(EXACT_HEADROOM, has_counter=False), customers=200, requests_a_second=80.0
+    ),
     Stream("handover", 31, LOAD, handover_at=1500),
     Stream("handover-build", 32, BUILD, handover_at=1200, modules=2, work_ms=150.0),
     Stream(
@@ -311,165 +312,174 @@
     ),
 )
 
-# What is digested --------------------------------------------------------------------------------------
+# Digests -----------------------------------------------------------------------------------------------
 
 
 def stream_digest(stream: Stream) -> Digest:
-    """Every action list of a stream, with its time."""
+    """All actions of a stream, with their times."""
     return Driver(stream).run()
 
 
 def scenario_digest(name: str) -> Digest:
-    """A scenario with a quarter of its customers: tries, sends, answers and counter calls in order, and
-    its result."""
-    text = load(name)[0]
-    text = replace(
-        text,
-        length_ms=min(text.length_ms, LONGEST_MS),
-        crowds=tuple(replace(crowd, count=max(crowd.count // 4, 1)) for crowd in text.crowds),
+    """A scenario with a quarter of its customers: requests, attempts, responses and counter calls in order, and the
+    result."""
+    scenario = load(name)[0]
+    scenario = replace(
+        scenario,
+        length_ms=min(scenario.length_ms, MAX_SCENARIO_MS),
+        crowds=tuple(replace(crowd, count=max(crowd.count // 4, 1)) for crowd in scenario.crowds),
     )
     digest = Digest()
-    world = World(text, 1)
-    world.referee = RecordingQuotaChecker(text, digest)
-    world.counter = RecordingCounter(text, random.Random(f"{name}/counter"), digest)
+    world = World(scenario, 1)
+    world.referee = RecordingQuotaChecker(scenario, digest)
+    world.counter = RecordingCounter(scenario, random.Random(f"{name}/counter"), digest)
     result = world.run()
-    words: dict[str, int] = {}
-    digest.add(without_names(result.figures(), words))
-    digest.add(without_names(result.line, words))
-    for shown in result.beliefs:
+    text_numbers: dict[str, int] = {}
+    digest.add(without_names(result.figures(), text_numbers))
+    digest.add(without_names(result.line, text_numbers))
+    for change in result.beliefs:
         digest.add(
-            (shown.at_ms, shown.gateway, without_names((shown.belief, shown.sign), words), shown.hidden)
+            (
+                change.at_ms,
+                change.gateway,
+                without_names((change.belief, change.sign), text_numbers),
+                change.hidden,
+            )
         )
     return digest
 
 
 def cluster_digest(name: str) -> Digest:
-    """What the gateways of a scenario share, for its first seconds: the figures of the fleet."""
-    text = load(name)[0]
+    """The first seconds of a scenario whose gateways form a cluster: the figures of the fleet."""
+    scenario = load(name)[0]
     digest = Digest()
-    figures = play_scenario(replace(text, length_ms=min(text.length_ms, CLUSTER_MS)), 1)
+    figures = play_scenario(replace(scenario, length_ms=min(scenario.length_ms, MAX_CLUSTER_SCENARIO_MS)), 1)
     digest.add(without_names(figures.plain(), {}))
     return digest
 
 
-def without_names(value: object, words: dict[str, int]) -> object:
-    """The value without keys, and each text as a number in the order in which texts first come."""
+def without_names(value: object, text_numbers: dict[str, int]) -> object:
+    """The value without keys, with each text replaced by a number in the order of first occurrence."""
     if isinstance(value, str):
-        return words.setdefault(value, len(words))
+        return text_numbers.setdefault(value, len(text_numbers))
     if isinstance(value, Mapping):
-        return [without_names(item, words) for item in value.values()]
+        return [without_names(item, text_numbers) for item in value.values()]
     if isinstance(value, list | tuple):
-        return [without_names(item, words) for item in value]
+        return [without_names(item, text_numbers) for item in value]
     return value
 
 
 class RecordingQuotaChecker(QuotaChecker):
     """A quota checker that also adds each of its events to a digest."""
 
-    def __init__(self, text: Scenario, digest: Digest) -> None:
-        super().__init__(text.plans, text.trouble)
+    def __init__(self, scenario: Scenario, digest: Digest) -> None:
+        super().__init__(scenario.plans, scenario.trouble)
         self.digest, self.kinds = digest, dict[str, int]()
 
     def request_sent(
         self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
     ) -> None:
-        """A client request."""
+        """Add a client request."""
         self.digest.add((0, now, rid, customer, units, gateway))
         super().request_sent(now, rid, customer, plan, units, gateway)
 
     def attempt_arrived(
         self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
     ) -> None:
-        """An attempt, as it reaches its server."""
+        """Add an attempt that has reached its server."""
         self.digest.add((1, now, rid, customer, units, gateway))
         super().attempt_arrived(now, rid, customer, plan, units, gateway)
 
     def response_received(self, now: float, rid: str, kind: str) -> None:
-        """A final response."""
+        """Add a final response."""
         self.digest.add((2, now, rid, self.kinds.setdefault(kind, len(self.kinds))))
         super().response_received(now, rid, kind)
 
 
 class RecordingCounter(CounterModel):
-    """A counter that also puts its calls into a digest."""
+    """A counter that also adds its calls to a digest."""
 
-    def __init__(self, text: Scenario, draw: random.Random, digest: Digest) -> None:
-        super().__init__(text, draw)
+    def __init__(self, scenario: Scenario, rng: random.Random, digest: Digest) -> None:
+        super().__init__(scenario, rng)
         self.digest = digest
 
     def call(self, now: float, gateway: int, name: int, units: float, life_ms: float) -> Answer:
-        """One call."""
+        """Add a call and its reply."""
         answer = super().call(now, gateway, name, units, life_ms)
         self.digest.add((3, now, gateway, name, units, life_ms, answer.at_ms, answer.total))
         return answer
 
 
-def fleet_digest(gateways: int, servers: int, pace: float, work_ms: float, dead: int) -> Digest:
-    """Several modules on one clock, before servers of which the last so many die and one joins cold."""
+def fleet_digest(gateways: int, servers: int, request_rate: float, work_ms: float, dead: int) -> Digest:
+    """Several decision engines on one clock: the last `dead` servers become silent, and a cold one joins."""
     listed = [
         api.Server(number, "ab"[number % 2], "std", 0, api.EndpointState.UP, 1.0, 0.0)
         for number in range(servers)
     ]
-    fleet = GatewayFleet(gateways, listed, seed=7, work=lambda draw: draw.expovariate(1 / work_ms))
+    fleet = GatewayFleet(gateways, listed, seed=7, work=lambda rng: rng.expovariate(1 / work_ms))
     digest = Digest()
-    fleet.run(4.0, pace)
+    fleet.run(4.0, request_rate)
     fleet.silent_servers.update(range(servers - dead, servers))
-    fleet.run(4.0, pace)
+    fleet.run(4.0, request_rate)
     joined = api.Server(servers, "a", "std", 0, api.EndpointState.UP, 1.0, fleet.now)
     fleet.update_endpoints([*listed[: servers - dead], joined])
-    fleet.run(4.0, lambda gateway: pace * (1 + gateway % 3))
+    fleet.run(4.0, lambda gateway: request_rate * (1 + gateway % 3))
     digest.add(fleet.sends)
     digest.add((fleet.served, fleet.rejected, fleet.cancelled))
     return digest
 
 
-def plan_book_digest() -> Digest:
-    """A book of plans under random announcements, withdrawals and exemptions."""
-    draw, digest, now = random.Random(61), Digest(), 1_000_000.0
+def plan_schedule_digest() -> Digest:
+    """A plan schedule under random announcements, cancellations and exemptions."""
+    rng, digest, now = random.Random(61), Digest(), 1_000_000.0
     names = ("one", "two", "three")
-    book = PlanSchedule({name: PlanLimits(5.0 * place, 20.0 * place) for place, name in enumerate(names, 1)})
+    schedule = PlanSchedule(
+        {name: PlanLimits(5.0 * place, 20.0 * place) for place, name in enumerate(names, 1)}
+    )
     numbers = dict.fromkeys(names, 0)
     for _ in range(3000):
-        now += draw.expovariate(1 / 400.0)
-        plan, customer = draw.choice((*names, *names, "none")), draw.randrange(12)
-        figures = drawn_figures(draw)
-        step = draw.randrange(6)
-        if step <= 1:
-            number = numbers.get(plan, 0) + draw.choice((1, 1, 1, 1, 0, 2))
-            made = book.announce(
-                now, plan, number, now + draw.choice((500.0, 2000.0, 4000.0, 9000.0, math.inf)), figures
+        now += rng.expovariate(1 / 400.0)
+        plan, customer = rng.choice((*names, *names, "none")), rng.randrange(12)
+        limits = random_limits(rng)
+        choice = rng.randrange(6)
+        if choice <= 1:
+            number = numbers.get(plan, 0) + rng.choice((1, 1, 1, 1, 0, 2))
+            result = schedule.announce(
+                now, plan, number, now + rng.choice((500.0, 2000.0, 4000.0, 9000.0, math.inf)), limits
+            )
+            if not isinstance(result, ScheduleError):
+                numbers[plan] = result.number
+            digest.add((choice, isinstance(result, ScheduleError) or result))
+        elif choice == 2:
+            number = numbers.get(plan, 0) - rng.randrange(2)
+            cancelled = schedule.cancel(now, plan, number)
+            if not isinstance(cancelled, ScheduleError):
+                numbers[plan] = cancelled.number - 1
+            digest.add((choice, isinstance(cancelled, ScheduleError) or cancelled))
+        elif choice == 3:
+            exemption = schedule.exempt(
+                now, customer, now + rng.choice((-5.0, 3000.0, 20_000.0, 1e12)), limits
             )
-            if not isinstance(made, ScheduleError):
-                numbers[plan] = made.number
-            digest.add((step, isinstance(made, ScheduleError) or made))
-        elif step == 2:
-            number = numbers.get(plan, 0) - draw.randrange(2)
-            taken = book.cancel(now, plan, number)
-            if not isinstance(taken, ScheduleError):
-                numbers[plan] = taken.number - 1
-            digest.add((step, isinstance(taken, ScheduleError) or taken))
-        elif step == 3:
-            own = book.exempt(now, customer, now + draw.choice((-5.0, 3000.0, 20_000.0, 1e12)), figures)
-            digest.add((step, isinstance(own, ScheduleError) or own))
+            digest.add((choice, isinstance(exemption, ScheduleError) or exemption))
         else:
-            granted, holds = book.limits_for(now, plan, customer), book.version(now, plan)
+            limits_in_force, version = schedule.limits_for(now, plan, customer), schedule.version(now, plan)
             digest.add(
                 (
-                    step,
-                    isinstance(granted, ScheduleError) or granted,
-                    isinstance(holds, ScheduleError) or holds,
-                    book.next_change_at(now),
-                    book.pending_versions(now),
+                    choice,
+                    isinstance(limits_in_force, ScheduleError) or limits_in_force,
+                    isinstance(version, ScheduleError) or version,
+                    schedule.next_change_at(now),
+                    schedule.pending_versions(now),
                 )
             )
     return digest
 
 
-def drawn_figures(draw: random.Random) -> PlanLimits:
-    """A plan's figures, now and then ones that are refused."""
-    rate = draw.choice((0.0, 1.5, 6.0, 25.0, 25.0))
-    burst = draw.choice((0.0, 8.0, 30.0, 30.0))
-    return draw.choice(
+def random_limits(rng: random.Random) -> PlanLimits:
+    """Random limits of a plan, some of which are invalid."""
+    rate = rng.choice((0.0, 1.5, 6.0, 25.0, 25.0))
+    burst = rng.choice((0.0, 8.0, 30.0, 30.0))
+    return rng.choice(
         (
             PlanLimits(rate, burst),
             PlanLimits(rate, burst, 2 * rate, 2 * burst),
@@ -478,25 +488,25 @@
     )
 
 
-def carry_digest() -> Digest:
-    """Stores that are carried through chains of changes."""
-    draw, digest = random.Random(62), Digest()
+def carry_over_digest() -> Digest:
+    """Token buckets that are carried over a series of plan changes."""
+    rng, digest = random.Random(62), Digest()
     for _ in range(300):
-        store = ceiling = BucketLevel(draw.uniform(-5.0, 30.0), draw.choice((0.0, 4.0)))
+        bucket = ceiling = BucketLevel(rng.uniform(-5.0, 30.0), rng.choice((0.0, 4.0)))
         old = PlanLimits(6.0, 30.0, 12.0, 60.0)
         for _ in range(6):
-            new = drawn_figures(draw)
-            store, ceiling = carry_over_quota(store, old, new), carry_over_ceiling(ceiling, old, new)
-            at = arrival_time(5000.0, store.units, new)
+            new = random_limits(rng)
+            bucket, ceiling = carry_over_quota(bucket, old, new), carry_over_ceiling(ceiling, old, new)
+            tat = arrival_time(5000.0, bucket.units, new)
             digest.add(
-                (store, ceiling, carry_over(store, old.burst, new.burst), at, units_at(5000.0, at, new))
+                (bucket, ceiling, carry_over(bucket, old.burst, new.burst), tat, units_at(5000.0, tat, new))
             )
             old = new
     return digest
 
 
-def bound_digest() -> Digest:
-    """The errors that are stated beforehand."""
+def error_bound_digest() -> Digest:
+    """The error bounds for several fleet sizes and settings."""
     digest = Digest()
     for gateways in (1, 3, 6, 7, 40, 200):
         for settings in (LOAD, BUILD, CAPPED):
@@ -504,9 +514,9 @@
                 (
                     detection_time_ms(gateways),
                     [
-                        max_excess_units(plan, 3, gateways, full)
+                        max_excess_units(plan, 3, gateways, burst_unused)
                         for plan in settings.plans
-                        for full in (False, True)
+                        for burst_unused in (False, True)
                     ],
                     max_excess_share([(plan, 3) for plan in settings.plans], gateways, 12.0),
                 )
@@ -528,9 +538,9 @@
     "fleet-of-three": lambda: fleet_digest(3, 8, 20.0, 100.0, 2),
     "fleet-of-twenty": lambda: fleet_digest(20, 12, 4.0, 150.0, 3),
     "fleet-pressed": lambda: fleet_digest(4, 4, 25.0, 250.0, 1),
-    "plan-book": plan_book_digest,
-    "plan-carry": carry_digest,
-    "stated-bounds": bound_digest,
+    "plan-book": plan_schedule_digest,
+    "plan-carry": carry_over_digest,
+    "stated-bounds": error_bound_digest,
 }
 
 
@@ -545,7 +555,7 @@
     assert list(json.loads(GOLDEN.read_text())) == list(CASES)
 
 
-def test_the_streams_bring_about_every_kind_of_action() -> None:
+def test_the_streams_cover_every_kind_of_action() -> None:
     kinds: set[str] = set()
     for stream in STREAMS:
         if stream.name in ("build", "handover", "watched"):
