--- a/badgeryoke/decisions/counter_health/ceiling_guard.py
+++ b/badgeryoke/decisions/counter_health/ceiling_guard.py
@@ -37,9 +37,8 @@
     def __init__(self, all_visible_until: Callable[[float, int, int], float]) -> None:
         self._all_visible_until = all_visible_until
         self._sent: dict[int, deque[tuple[float, float]]] = {}  # by customer: time and units
-        self._in_flight: dict[
-            str, tuple[int, float]
-        ] = {}  # by id of a request not sent yet: customer and units
+        # By id of a request that is not sent yet: customer and units.
+        self._in_flight: dict[str, tuple[int, float]] = {}
         self._units_in_flight: dict[int, float] = {}  # by customer
         self._swept_at = -math.inf
 
--- a/badgeryoke/decisions/counter_health/reply_monitor.py
+++ b/badgeryoke/decisions/counter_health/reply_monitor.py
@@ -11,9 +11,7 @@
 UNREACHABLE_MIN_FAILURES = 3
 UNRESPONSIVE_MS = 1500.0  # without a reply for this long, the counter is dead even if it accepts connections
 SLOW_DELAY_FRACTION = 0.25  # of the timeout: the counter is slow where the mean delay exceeds this
-RECOVERED_DELAY_FRACTION = (
-    0.12  # of the timeout: a slow counter has recovered where the mean delay falls to this
-)
+RECOVERED_DELAY_FRACTION = 0.12  # of the timeout: a slow counter has recovered at this mean delay
 DELAY_GAIN = 0.2  # EWMA weight of one reply in the mean delay
 
 
@@ -29,7 +27,7 @@
         self._mean_delay = 0.0  # as a fraction of the timeout
 
     def record(self, now: float, succeeded: bool, rtt_ms: float, connect_failed: bool) -> None:
-        """Process the outcome of one call.  A refused connection does not change the mean delay."""
+        """Process the outcome of one call.  A refused connection does not show the counter's speed."""
         if succeeded:
             self.last_success_at = now
             self._failure_count = self._refused_count = 0
--- a/tests/decisions/counter_health/test_detector.py
+++ b/tests/decisions/counter_health/test_detector.py
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize(
-    ("groups", "parts"),
+    ("groups", "shares"),
     [
         (((0,), (1, 2)), [1 / 3, 2 / 3, 2 / 3]),
         (((0,), (1,), (2,)), [1 / 3] * 3),
