--- a/tests/decisions/counter_health/test_state_machine.py
+++ b/tests/decisions/counter_health/test_state_machine.py
@@ -26,15 +26,15 @@
 SIDES = st.sampled_from((((0,), (1, 2)), ((0, 1), (2,)), ((0,), (1,), (2,)), ((1,), (0, 2))))
 
 
-class Losses(RuleBasedStateMachine):
-    """Three gateways and what happens to their counter."""
+class CounterFaults(RuleBasedStateMachine):
+    """Three gateways, and faults of their counter."""
 
     @initialize()
     def begin(self) -> None:
         self.fleet = DetectorFleet(GATEWAYS)
         self.fleet.run(6000.0)
         self.quiet_ms = 6000.0
-        self.restarted = self.forgot = False
+        self.restarted = self.data_lost = False
 
     @rule(ms=st.floats(10.0, 5000.0))
     def time_passes(self, ms: float) -> None:
@@ -42,7 +42,7 @@
         self.quiet_ms += ms
 
     @rule(sides=SIDES)
-    def split(self, sides: tuple[tuple[int, ...], ...]) -> None:
+    def partition(self, sides: tuple[tuple[int, ...], ...]) -> None:
         if not self.fleet.partitions and self.quiet_ms >= 3000.0:
             self.fleet.partition(*sides)
             self.quiet_ms = 0.0
@@ -54,58 +54,62 @@
             return
         self.fleet.totals = dict(sides[keep])
         if merge:
-            for side in {id(one): one for one in sides.values() if one is not sides[keep]}.values():
+            for side in {
+                id(candidate): candidate for candidate in sides.values() if candidate is not sides[keep]
+            }.values():
                 for name, total in side.items():
-                    held = self.fleet.totals.get(name, base.get(name, 0.0))
-                    self.fleet.totals[name] = held + total - base.get(name, 0.0)
+                    merged_total = self.fleet.totals.get(name, base.get(name, 0.0))
+                    self.fleet.totals[name] = merged_total + total - base.get(name, 0.0)
         self.fleet.partitions = {}
         self.quiet_ms = 0.0
 
-    @rule(forget=st.booleans())
-    def swap(self, forget: bool) -> None:
-        if self.restarted and forget:  # the known failure below: the membership register would be lost
+    @rule(lose_data=st.booleans())
+    def fail_over(self, lose_data: bool) -> None:
+        if self.restarted and lose_data:  # the known failure below: the membership register would be lost
             return
-        self.forgot = self.forgot or forget
+        self.data_lost = self.data_lost or lose_data
         for totals in (self.fleet.totals, *self.fleet.partitions.values()):
-            if forget:
+            if lose_data:
                 totals.clear()
         self.quiet_ms = 0.0
 
-    @rule(deaf=st.sets(st.integers(0, GATEWAYS - 1)))
-    def hear_nothing(self, deaf: set[int]) -> None:
-        self.fleet.isolated = deaf
+    @rule(isolated=st.sets(st.integers(0, GATEWAYS - 1)))
+    def isolate(self, isolated: set[int]) -> None:
+        self.fleet.isolated = isolated
         self.quiet_ms = 0.0
 
-    @rule(me=st.integers(0, GATEWAYS - 1))
-    def restart(self, me: int) -> None:
-        if self.fleet.partitions or self.fleet.isolated or self.forgot:
+    @rule(gateway=st.integers(0, GATEWAYS - 1))
+    def restart(self, gateway: int) -> None:
+        if self.fleet.partitions or self.fleet.isolated or self.data_lost:
             return  # the known failure below: the membership register may be incomplete
-        self.fleet.detectors[me] = CounterHealthDetector(me, GATEWAYS, 50.0)
-        self.fleet.state_changes = [row for row in self.fleet.state_changes if row[1] != me]
+        self.fleet.detectors[gateway] = CounterHealthDetector(gateway, GATEWAYS, 50.0)
+        self.fleet.state_changes = [change for change in self.fleet.state_changes if change[1] != gateway]
         self.restarted = True
         self.quiet_ms = 0.0
 
     @invariant()
-    def parts_sum_to_one(self) -> None:
-        """Each side holds what its members grant; one that hears nothing is a side of its own."""
+    def shares_sum_to_one(self) -> None:
+        """A side grants the largest share of its members; an isolated gateway is a side of its own."""
         if not hasattr(self, "fleet") or self.quiet_ms < detection_time_ms(GATEWAYS) + MIN_STATE_DURATION_MS:
             return
         sides: dict[object, float] = {}
-        for me, watch in self.fleet.detectors.items():
+        for gateway, detector in self.fleet.detectors.items():
             side: object = (
-                me if me in self.fleet.isolated else id(self.fleet.partitions.get(me, self.fleet.totals))
+                gateway
+                if gateway in self.fleet.isolated
+                else id(self.fleet.partitions.get(gateway, self.fleet.totals))
             )
-            sides[side] = max(sides.get(side, 0.0), watch.visibility.visible_share(0, GATEWAYS))
+            sides[side] = max(sides.get(side, 0.0), detector.visibility.visible_share(0, GATEWAYS))
         assert sum(sides.values()) <= 1.0 + 1e-9
 
     @invariant()
-    def beliefs_do_not_flap(self) -> None:
-        for me in range(GATEWAYS if hasattr(self, "fleet") else 0):
-            times = [at for at, who, _ in self.fleet.state_changes if who == me]
+    def states_do_not_flap(self) -> None:
+        for gateway in range(GATEWAYS if hasattr(self, "fleet") else 0):
+            times = [at for at, changed_gateway, _ in self.fleet.state_changes if changed_gateway == gateway]
             assert all(later - earlier >= 2000.0 for earlier, later in pairwise(times[1:]))
 
     def teardown(self) -> None:
-        """All is well again: everybody comes to see it."""
+        """After all faults have ended, every detector is healthy and grants the whole quota."""
         if not hasattr(self, "fleet"):
             return
         self.fleet.isolated, self.fleet.partitions = set(), {}
@@ -116,8 +120,8 @@
         )
 
 
-TestLosses = Losses.TestCase
-TestLosses.settings = settings(
+TestCounterFaults = CounterFaults.TestCase
+TestCounterFaults.settings = settings(
     max_examples=60,
     stateful_step_count=25,
     deadline=None,
