--- a/badgeryoke/cluster/__init__.py
+++ b/badgeryoke/cluster/__init__.py
@@ -1,6 +1,6 @@
-"""What the gateways of a cluster share by replication: decisions alone, no I/O.
+"""The replicated state that the gateways of a cluster share: decision logic only, no I/O.
 
-Time comes in as `now` (this machine's monotonic clock, ms) and `wall` (Unix ms, anchored once to the monotonic clock, so
-that a step of the system's clock moves nothing here), randomness as a `random.Random`, messages as values.  A gateway
-whose operators' file does not switch the cluster on imports nothing of this package.
+The caller passes in time as `now` (this machine's monotonic clock, ms) and `wall` (Unix ms, anchored once to the
+monotonic clock, so that a step of the system clock has no effect here), randomness as a `random.Random`, and messages
+as values.  A gateway whose operators' file does not enable the cluster imports nothing from this package.
 """
--- a/badgeryoke/cluster/bootstrap.py
+++ b/badgeryoke/cluster/bootstrap.py
@@ -1,17 +1,18 @@
-"""How a cluster is first formed, so that a member that lost its disk can never pass for a founder.
+"""Bootstraps a cluster such that a member that lost its disk is never mistaken for a founder.
 
-Every member starts with an empty store and an incarnation drawn with it.  Without a bootstrap record it queries the
-others.  Only the member with the lowest name on the operators' list (the creator) makes a record, and only when
-*every* other listed member has answered, within the last `ANSWER_VALID_MS`, that it has none.  Before each answers, it
-puts on its own disk which id of the creator it answers; from there on it takes a record that names it only from that
-id or made by it.  So once all have answered, no older record can come to life again at a founder, and as long as one
-founder lives with its disk there is no second bootstrap.
+Every member starts with an empty store and a random incarnation that is generated with the store.  A member without a
+bootstrap record queries the others.  Only the member with the lowest name on the operators' list (the creator) makes a
+record, and only when *every* other listed member has answered within the last `ANSWER_VALID_MS` that it has none.
+Before a member answers the creator, it stores the id of the creator that it answers (its promise); from then on it
+accepts a record that names it only if that id sent or created the record.  So once all members have answered, no
+founder accepts an older record, and there is no second bootstrap while at least one founder still has its disk.
 
-A record counts once it is stored, at its creator as at all others.  Whoever is named in it with its present
-incarnation is a founder; anybody else is a newcomer and is taken in through the log.
+A record takes effect once it is stored, at its creator as at all others.  A member that the record names with its
+present incarnation is a founder; any other member is a newcomer and is added through the log.
 
-Assumed: the list is the same on all machines; one process runs under one name; a message to an id reaches that id or
-nobody.  Not promised: a bootstrap while a listed member is down (nobody promises anything yet by then).
+Assumptions: the list is the same on all machines; only one process runs under each name; a message to a member id is
+delivered to that id or not at all.  A bootstrap does not complete while a listed member is down; no member
+acknowledges any write before the bootstrap.
 """
 
 from __future__ import annotations
@@ -48,50 +49,50 @@
 
 MIN_QUERY_INTERVAL_MS = 200.0  # between the first rounds of queries
 MAX_QUERY_INTERVAL_MS = 2000.0
-QUERY_BACKOFF_MULTIPLE = 1.5  # the interval grows by this with each round
-MIN_QUERY_JITTER, QUERY_JITTER_SPAN = 0.75, 0.5  # times the interval: from 0.75 to 1.25
-ANSWER_VALID_MS = 6000.0  # an answer that there is no record counts for so long
-QUERIED_BESIDE_CREATOR = 3  # members queried in a round by one that is not the creator
+QUERY_BACKOFF_FACTOR = 1.5  # multiplies the interval after each round
+MIN_QUERY_JITTER, QUERY_JITTER_SPAN = 0.75, 0.5  # the interval is multiplied by 0.75 to 1.25
+ANSWER_VALID_MS = 6000.0  # how long an answer that there is no record stays valid
+MAX_OTHERS_QUERIED = 3  # members that a non-creator queries in a round, in addition to the creator
 BOOTSTRAP_ID_BITS = 64
 
 Effects = list[SendMessage | PersistRecords | LogEvent]
 
 
 class _NoRecordAnswer(NamedTuple):
-    """A member answered that it has no record: when, and under which id."""
+    """A member's answer that it has no record: when it arrived (ms, clock of `now`), and from which id."""
 
-    at: float
+    received_at: float
     member_id: MemberId
 
 
 class _PendingRecord(NamedTuple):
-    """A record on its way to the disk."""
+    """A record that is being written to stable storage, and the sequence number of the write."""
 
     seq: int
     record: BootstrapRecord
 
 
 class Bootstrap:
-    """One member's way to the record.
+    """Obtains or creates the bootstrap record on one member.
 
-    `due`: when the next Tick has to come (ms of the clock of `now`); infinite once the record is stored.
+    `due`: when the next Tick is needed at the latest (ms, clock of `now`); infinite once the record is stored.
     """
 
     def __init__(self, setup: NodeSetup, saved: PersistedGroup, draw: Random, now: float) -> None:
-        self.record: BootstrapRecord | None = None  # once it is stored
-        self.error: ClusterError | None = None  # why there is none, where waiting does not help
+        self.record: BootstrapRecord | None = None  # set once it is stored
+        self.error: ClusterError | None = None  # set if the bootstrap failed for good
         self._setup, self._draw = setup, draw
         self._zones = {member.name: member.zone for member in setup.members}
         self._zone = self._zones.get(setup.member_name, "")
         self._others = sorted(name for name in self._zones if name != setup.member_name)
         self._creator_name = min([*self._others, setup.member_name])
         self._no_record: dict[str, _NoRecordAnswer] = {}  # by name
-        # The creator's id that was promised an answer, stored as a vote, and how often that changed, as its term.
+        # The creator's id that this member promised itself to, stored as a vote, and the number of such promises,
+        # stored as the term.
         self._promised_to, self._promise_count = saved.voted_for, saved.current_term
-        self._past_creators: dict[MemberId, None] = {}  # earlier ids of the creator
-        self._unstored_promises: dict[
-            int, MemberId
-        ] = {}  # answered once they are on disk, by sequence number
+        self._past_creators: dict[MemberId, None] = {}  # earlier ids of the creator; they get no answer
+        # Promises that are being written, by sequence number; the query is answered once the promise is on disk.
+        self._unstored_promises: dict[int, MemberId] = {}
         self._pending: _PendingRecord | None = None
         self._last_seq, self._query_interval_ms = 0, MIN_QUERY_INTERVAL_MS
         self.due = now + draw.random() * MIN_QUERY_INTERVAL_MS
@@ -100,13 +101,13 @@
 
     @property
     def is_founder(self) -> bool:
-        """Whether this member, with its present incarnation, is named by the record."""
+        """Whether the record names this member with its present incarnation."""
         return self.record is not None and self.record.names_member(self._setup.member_id)
 
     def handle(
         self, now: float, event: Tick | MessageReceived | RecordsPersisted | StorageFailure
     ) -> Effects:
-        """Take an event in; of messages, and of what is stored, only what concerns the bootstrap counts."""
+        """Handle an event; messages and completed writes that do not concern the bootstrap are ignored."""
         effects: Effects = []
         match event:
             case MessageReceived(sender=sender, message=message):
@@ -122,28 +123,28 @@
         return effects
 
     def _restore(self, body: bytes) -> None:
-        found = decode_record(body)
-        if found is None:
+        record = decode_record(body)
+        if record is None:
             self.error = BadFrame(self._setup.member_name, "the stored founding record cannot be read")
-        elif found.cluster_name != self._setup.cluster_name:
+        elif record.cluster_name != self._setup.cluster_name:
             detail = f"the folder belongs to it, not to {self._setup.cluster_name!r}"
-            self.error = ClusterMismatch(found.cluster_name, detail)
+            self.error = ClusterMismatch(record.cluster_name, detail)
         else:
-            self.record = found
+            self.record = record
         self.due = math.inf
 
     # Queries
 
     def _begin_round(self, now: float, effects: Effects) -> None:
-        """Make the record, where this is the creator and all have answered, else query the others."""
-        self._query_interval_ms = min(self._query_interval_ms * QUERY_BACKOFF_MULTIPLE, MAX_QUERY_INTERVAL_MS)
+        """Create the record if this is the creator and all others have answered; otherwise query the others."""
+        self._query_interval_ms = min(self._query_interval_ms * QUERY_BACKOFF_FACTOR, MAX_QUERY_INTERVAL_MS)
         jitter = MIN_QUERY_JITTER + QUERY_JITTER_SPAN * self._draw.random()
         self.due = now + self._query_interval_ms * jitter
         if self.error is not None or self._pending is not None:
             return
         if self._setup.member_name != self._creator_name:
             others = [name for name in self._others if name != self._creator_name]
-            sample = self._draw.sample(others, min(QUERIED_BESIDE_CREATOR, len(others)))
+            sample = self._draw.sample(others, min(MAX_OTHERS_QUERIED, len(others)))
             queried = [self._creator_name, *sample]
         elif self._all_answered(now):
             self._persist_record(self._make_record(), effects)
@@ -153,9 +154,9 @@
         effects += [SendMessage(name + "/", IdentityQuery(self._zone)) for name in queried]
 
     def _all_answered(self, now: float) -> bool:
-        """Whether all others have said lately that they have no record."""
+        """Whether every other member has answered within `ANSWER_VALID_MS` that it has no record."""
         answers = [self._no_record.get(name) for name in self._others]
-        return all(answer is not None and now - answer.at <= ANSWER_VALID_MS for answer in answers)
+        return all(answer is not None and now - answer.received_at <= ANSWER_VALID_MS for answer in answers)
 
     def _make_record(self) -> BootstrapRecord:
         ids = {name: self._no_record[name].member_id for name in self._others}
@@ -170,7 +171,7 @@
         )
 
     def _persist_record(self, record: BootstrapRecord, effects: Effects) -> None:
-        """Store it, as a snapshot; it counts when that has come back."""
+        """Store the record as a snapshot; it takes effect when `RecordsPersisted` reports the write."""
         self._last_seq += 1
         self._pending = _PendingRecord(self._last_seq, record)
         config = GroupConfiguration(tuple(founder for founder, _ in record.members))
@@ -186,7 +187,7 @@
             self._adopt(self._pending.record, effects)
 
     def _adopt(self, record: BootstrapRecord, effects: Effects) -> None:
-        """The record is stored; its creator sends it once, and whom that does not reach queries."""
+        """Adopt the stored record; its creator sends it once, and members that miss that message query for it."""
         self.record, self._pending, self.due = record, None, math.inf
         self._no_record.clear()
         is_creator = record.created_by == self._setup.member_id
@@ -219,13 +220,13 @@
                 pass
 
     def _answer(self, sender: MemberId, effects: Effects) -> None:
-        """Answer a query; one under the creator's name only once the promise to it is on disk."""
+        """Answer a query; a query from the creator is answered only once the promise to it is on disk."""
         if self.record is not None:
             answer = Announce(self._zone, msgspec.msgpack.encode(self.record))
             effects.append(SendMessage(sender, answer))
             return
         if self._pending is not None or self.error is not None:
-            return  # neither "none" nor a record that may not survive: it queries again
+            return  # "no record" may be false soon, and a record not yet stored may be lost: the sender retries
         is_creator = member_name(sender) == self._creator_name
         is_promised = sender == self._promised_to and sender not in self._unstored_promises.values()
         if not is_creator or is_promised:
@@ -234,7 +235,7 @@
             self._promise(sender, effects)
 
     def _promise(self, creator: MemberId, effects: Effects) -> None:
-        """From here on take a record that names this member only from this id, or made by it."""
+        """Promise to accept a record that names this member only if this id sent or created it."""
         if len(self._past_creators) >= MAX_MEMBERS:
             return
         if self._promised_to:
@@ -246,7 +247,7 @@
         effects.append(PersistRecords(BOOTSTRAP_GROUP, self._last_seq, (state,)))
 
     def _receive_record(self, sender: MemberId, body: bytes, effects: Effects) -> None:
-        """A record, from its creator or from anybody who has it."""
+        """Handle a record sent by its creator or by any member that has it."""
         record = decode_record(body)
         if record is None:
             effects.append(_error_event(BadFrame(sender, "a founding record that cannot be read")))
@@ -264,7 +265,7 @@
         return record.cluster_name == self._setup.cluster_name and known.bootstrap_id == record.bootstrap_id
 
     def _breaks_promise(self, sender: MemberId, record: BootstrapRecord) -> bool:
-        """Whether it is from before a later creator was answered, and so may be nobody's any more."""
+        """Whether the record is older than the promise to a later creator, and so may have been superseded."""
         return (
             record.names_member(self._setup.member_id)
             and bool(self._promised_to)
--- a/badgeryoke/cluster/bootstrap_record.py
+++ b/badgeryoke/cluster/bootstrap_record.py
@@ -1,4 +1,4 @@
-"""The bootstrap record: what a cluster was first formed of, the same on each member for good."""
+"""The bootstrap record: the founding members of a cluster, identical on each member and never changed."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class BootstrapRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The founders of a cluster, and the form of its groups; stored and sent as an array."""
+    """The founders of a cluster and the layout of its groups; stored and sent as an array."""
 
     cluster_name: str
-    bootstrap_id: str  # drawn by its maker; tells two clusters of one name apart
+    bootstrap_id: str  # random; distinguishes two clusters of the same name
     created_by: MemberId
-    members: tuple[tuple[MemberId, str], ...]  # founders and their zones, by name
-    group_count: int  # beside the cluster's own
+    members: tuple[tuple[MemberId, str], ...]  # founders and their zones, sorted by name
+    group_count: int  # without the cluster's own group
     replication_factor: int
 
     def names_member(self, member_id: MemberId) -> bool:
-        """Whether this id, with its incarnation, is a founder."""
+        """Whether this member id (name and incarnation) is a founder."""
         return any(founder == member_id for founder, _ in self.members)
 
 
 def decode_record(body: bytes) -> BootstrapRecord | None:
-    """A record from its bytes; None where they are not one, or out of bounds."""
+    """Decode a record; None if the bytes are not a record or exceed a limit."""
     if len(body) > MAX_RECORD_BYTES:
         return None
     try:
--- a/badgeryoke/cluster/call_router.py
+++ b/badgeryoke/cluster/call_router.py
@@ -1,7 +1,7 @@
-"""Calls on their way to the leader of the group that holds their key: routing, forwarding and retries.
+"""Routes calls to the leader of the group that holds their key, with forwarding and retries.
 
-A call is answered exactly once, within `call_ms`.  It is retried with the same id, which makes a repeat of what was
-applied harmless; that nothing was applied is answered only where it is known of every attempt.
+A call is answered exactly once, within `call_ms`.  Retries use the same id, so repeating an applied command has no
+further effect.  A call is answered with a rejection only if every attempt is known not to have been applied.
 """
 
 from __future__ import annotations
@@ -35,38 +35,38 @@
 from badgeryoke.cluster.state_machine.command_registry import decode_command, encode_command
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 
-MAX_PENDING_CALLS = 4096  # calls of this gateway without an answer; more are rejected
-MAX_HOPS = 3  # sent with a forwarded call
-RETRY_FRACTION = 0.25  # of `call_ms`, after which an attempt without an answer is repeated
-RETRY_BACKOFF_MS = 40.0  # mean pause before a retry where an attempt failed
-BACKOFF_JITTER = (0.5, 1.5)  # times the pause
+MAX_PENDING_CALLS = 4096  # unanswered calls of this gateway; further calls are rejected
+MAX_HOPS = 3  # the hop count that a forwarded call carries
+RETRY_FRACTION = 0.25  # fraction of `call_ms` after which an unanswered attempt is retried
+RETRY_BACKOFF_MS = 40.0  # mean delay before the retry of a failed attempt
+BACKOFF_JITTER = (0.5, 1.5)  # range of the random factor on that delay
 
 CallResult = ApplyResult | ClusterError
-ResultHandler = Callable[[float, CallResult], list[Effect]]  # called with the time and the result
+ResultHandler = Callable[[float, CallResult], list[Effect]]  # called with the time (ms) and the result
 
 reply_decoder = msgspec.msgpack.Decoder(tuple[ApplyResult | None, AnyError | None, str])
 
-# After these another attempt may succeed: where a leader can promise nothing any more there will be another one.
+# Errors after which a retry may succeed: a leader whose storage failed, for example, is replaced by another leader.
 _RETRIED = NoLeader | Overloaded | UnknownOutcome | StorageFailed | InvariantBroken
 
 
 @dataclass(slots=True)
 class _PendingCall:
-    """A call of this gateway that has no answer yet."""
+    """An unanswered call of this gateway; times in ms, clock of `now`."""
 
     command: Command
     group: str
     deadline: float
     on_result: ResultHandler
     retry_at: float
-    round: int = 0  # of looking for the leader
+    round: int = 0  # attempts to find the leader so far
     attempt_count: int = 0
-    open_attempts: dict[int, None] = field(default_factory=dict)  # those without an answer, by number
+    open_attempts: dict[int, None] = field(default_factory=dict)  # unanswered attempts, by number
     last_error: ClusterError | None = None
     may_be_applied: bool = False  # an attempt ended with an unknown outcome
 
     def new_attempt(self) -> int:
-        """Number one more attempt."""
+        """Open another attempt and return its number."""
         self.attempt_count += 1
         self.open_attempts[self.attempt_count] = None
         return self.attempt_count
@@ -77,9 +77,10 @@
 
 
 def _final_result(call: _PendingCall, result: CallResult) -> CallResult:
-    """What the caller is answered: a rejection only where it is known of every attempt.
+    """The result for the caller.  A rejected write becomes `UnknownOutcome` if any attempt may have been applied.
 
-    An answer out of the log speaks for all attempts that ended before: what they left in the log stands before it.
+    A rejection that comes from the log also covers the attempts that ended before, because their entries precede it in
+    the log.
     """
     may_be_applied = call.open_attempts or (call.may_be_applied and isinstance(result, ClusterError))
     if _is_rejection(result) and may_be_applied and not call.command.reads:
@@ -88,7 +89,7 @@
 
 
 class CallRouter:
-    """Calls of this gateway, and those that other members forward to it."""
+    """Handles the calls of this gateway and the calls that other members forward to it."""
 
     def __init__(
         self,
@@ -104,13 +105,13 @@
         self._host, self._membership, self._clock = host, membership, clock
         self._tokens, self._timers, self._draw = tokens, timers, draw
         self._pending: dict[str, _PendingCall] = {}  # by token
-        self._leaders: dict[str, MemberId] = {}  # of groups, as last heard
-        self._task_ids: dict[str, None] = {}  # of calls made by `call_once`
+        self._leaders: dict[str, MemberId] = {}  # by group, as last reported
+        self._task_ids: dict[str, None] = {}  # ids of unanswered calls made by `call_once`
 
     # Calls of this gateway
 
     def call(self, now: float, wall: float, command: Command, on_result: ResultHandler) -> list[Effect]:
-        """Make a call; `wall` is the cluster's time (Unix ms)."""
+        """Make a call; `wall` is the cluster's time (Unix ms).  `on_result` gets the result exactly once."""
         problem = command.validate()
         if problem:
             return on_result(now, InvalidCall(command.id, problem))
@@ -126,29 +127,29 @@
         return self._attempt(now, wall, token, call)
 
     def task_is_pending(self, command_id: str) -> bool:
-        """Whether a call made by `call_once` with this id has no answer yet."""
+        """Whether a call made by `call_once` with this id is unanswered."""
         return command_id in self._task_ids
 
     def pending_task_count(self) -> int:
-        """Calls made by `call_once` without an answer."""
+        """The number of unanswered calls made by `call_once`."""
         return len(self._task_ids)
 
     def call_once(self, now: float, wall: float, command: Command) -> list[Effect]:
-        """Make a call whose result nobody waits for; the caller sees to it that its id is not pending."""
+        """Make a call whose result is discarded; the caller ensures that no call with this id is pending."""
 
-        def forget(at: float, result: CallResult) -> list[Effect]:
+        def remove_task_id(at: float, result: CallResult) -> list[Effect]:
             self._task_ids.pop(command.id, None)
             return []
 
         self._task_ids[command.id] = None
-        return self.call(now, wall, command, forget)
+        return self.call(now, wall, command, remove_task_id)
 
     def earliest_timer(self) -> float:
-        """When the next call has to be retried, or ends."""
+        """When the next retry or deadline of a call is due (ms, clock of `now`)."""
         return min((min(call.deadline, call.retry_at) for call in self._pending.values()), default=math.inf)
 
     def run_timers(self, now: float, wall: float) -> list[Effect]:
-        """End calls whose time is over, and retry those that are due."""
+        """Complete calls whose deadline has passed, and retry those that are due."""
         effects: list[Effect] = []
         for token, call in list(self._pending.items()):
             if call.deadline <= now:
@@ -160,7 +161,7 @@
         return effects
 
     def _attempt(self, now: float, wall: float, token: str, call: _PendingCall) -> list[Effect]:
-        """One attempt: at the replica here where it leads, else at the member taken for the leader."""
+        """Make one attempt: on the local replica if it leads, otherwise on the member presumed to be the leader."""
         call.retry_at = now + self._call_ms * RETRY_FRACTION
         call.round += 1
         if self._host.leading_replica(call.group) is not None:
@@ -184,7 +185,7 @@
         return [SendMessage(to, ForwardedCall(f"{token}.{number}", call.group, body, MAX_HOPS))]
 
     def _guess_leader(self, group: str, round_: int) -> MemberId:
-        """The leader as this member's replica knows it, as last heard, else one replica after the other."""
+        """The leader known to the local replica or last reported, else each live replica in turn; "" if none."""
         replica = self._host.replicas.get(group)
         own_id = self._setup.member_id
         if replica is not None and replica.leader_id and replica.leader_id != own_id and round_ % 2 == 1:
@@ -194,21 +195,21 @@
         alive = {member_name(one): one for one in self._membership.alive_ids() if one != own_id}
         voters = (member_name(voter) for voter in self._host.voters_by_group.get(group, ()))
         others = [alive[name] for name in voters if name in alive]
-        if not others or round_ % 4 >= 2:  # replicas may have moved since: any living member
+        if not others or round_ % 4 >= 2:  # replicas may have moved: try any live member
             others = sorted(alive.values())
         return others[round_ % len(others)] if others else ""
 
     def _end_attempt(self, now: float, token: str, number: int, result: CallResult) -> list[Effect]:
         call = self._pending.get(token)
         if call is None:
-            return []  # it was answered, or its time is over
+            return []  # already answered or past its deadline
         call.open_attempts.pop(number, None)
         if isinstance(result, _RETRIED):
             self._back_off(now, call, number, result)
             return []
         if call.open_attempts and _is_rejection(result) and not call.command.reads:
             call.last_error = result if isinstance(result, ClusterError) else result.error
-            call.retry_at = call.deadline  # another attempt may yet be applied: its answer tells
+            call.retry_at = call.deadline  # an open attempt may still be applied; wait for its answer
             return []
         del self._pending[token]
         return call.on_result(now, _final_result(call, result))
@@ -216,14 +217,14 @@
     def _back_off(self, now: float, call: _PendingCall, number: int, error: ClusterError) -> None:
         call.last_error = error
         call.may_be_applied = call.may_be_applied or isinstance(error, UnknownOutcome)
-        if number == call.attempt_count:  # an earlier one, at a lost member, delays nothing
+        if number == call.attempt_count:  # a failure of an earlier attempt does not delay the latest one
             call.retry_at = now + RETRY_BACKOFF_MS * self._draw.uniform(*BACKOFF_JITTER)
             self._timers.bring_forward(call.retry_at)
 
     def _execute(
         self, now: float, wall: float, group: str, command: Command, on_result: ResultHandler
     ) -> list[Effect]:
-        """Have the replica here, which leads, carry a command out."""
+        """Execute a command on the local replica, which leads its group."""
         token = self._tokens.next()
 
         def answer_query(at: float, result: Any) -> list[Effect]:
@@ -233,7 +234,8 @@
         self._host.on_completion(token, answer_query if command.reads else on_result)
         if command.reads:
             return self._host.feed(now, group, ReadIndexRequest(token))
-        # Until a majority's clocks were heard the group's time stands still: this machine's may be anywhere.
+        # Until the clocks of a majority are known, this machine's clock cannot be trusted: 0 leaves the group's time
+        # unchanged.
         at_ms = wall if self._clock.is_synchronized else 0.0
         return self._host.feed(now, group, ProposeCommand(token, encode_command(at_ms, command)))
 
@@ -242,7 +244,7 @@
     def on_forwarded_call(
         self, now: float, wall: float, sender: MemberId, message: ForwardedCall
     ) -> list[Effect]:
-        """Carry out another member's call where its group is led here, else say who leads it."""
+        """Execute another member's call if its group is led here; otherwise reply with the known leader."""
         group = message.group
 
         def reply(at: float, result: CallResult) -> list[Effect]:
@@ -267,7 +269,7 @@
     def on_forwarded_reply(
         self, now: float, wall: float, sender: MemberId, message: ForwardedReply
     ) -> list[Effect]:
-        """Take another member's answer to an attempt; one that cannot be read counts as lost."""
+        """Handle another member's reply to an attempt; a reply that cannot be decoded is ignored."""
         token, _, digits = message.token.rpartition(".")
         call = self._pending.get(token)
         if call is None or not digits.isdecimal():
@@ -282,8 +284,8 @@
         self._learn_leader(call.group, sender, leader)
         number = int(digits)
         is_latest = number == call.attempt_count
-        names_another = leader not in ("", sender, self._setup.member_id)
-        if isinstance(result, NoLeader) and is_latest and names_another:
+        names_other_leader = leader not in ("", sender, self._setup.member_id)
+        if isinstance(result, NoLeader) and is_latest and names_other_leader:
             call.open_attempts.pop(number, None)
             call.retry_at = now + self._call_ms * RETRY_FRACTION
             return self._forward(wall, token, call, leader)
--- a/badgeryoke/cluster/cluster_clock.py
+++ b/badgeryoke/cluster/cluster_clock.py
@@ -1,6 +1,6 @@
-"""The cluster's time: the median of the members' wall clocks, as far as this member has heard them.
+"""The cluster's time: the median of the wall clocks that this member has received from other members, and its own.
 
-A clock that was set wrong, or a machine that started with it, must not carry the groups' time away.
+The median keeps one machine whose clock is set wrong from moving the groups' time.
 """
 
 from __future__ import annotations
@@ -12,25 +12,26 @@
 
 
 class MemberNames(Container[str], Sized, Protocol):
-    """The listed names, this member's own included."""
+    """The names of all listed members, including this one."""
 
 
 class MedianClock:
-    """`offset_ms`: the cluster's time less this machine's."""
+    """Estimates the cluster's time; `offset_ms` is the cluster's time minus this machine's wall clock."""
 
     def __init__(self, names: MemberNames) -> None:
         self._names = names
-        self._offsets_ms: dict[str, float] = {}  # other members' wall clocks less this machine's
+        self._offsets_ms: dict[str, float] = {}  # other members' wall clocks minus this machine's, by name
         self.offset_ms = 0.0
-        self.is_synchronized = len(names) <= 1  # whether a majority's clocks were heard
+        self.is_synchronized = len(names) <= 1  # whether the clocks of a majority are known
 
     def observe(self, sender: MemberId, offset_ms: float) -> None:
-        """Take in how far another member's clock is ahead of this machine's; ignored for unlisted names."""
+        """Record how far another member's clock is ahead of this machine's; unlisted names are ignored."""
         name = member_name(sender)
         if name not in self._names:
             return
         self._offsets_ms[name] = offset_ms
         offsets = sorted([0.0, *self._offsets_ms.values()])
-        # Of two in the middle the one behind: a group's time goes forward, never back.
+        # With an even count take the earlier of the two middle clocks: a group's time never goes back, so a time that
+        # is too early can be corrected and one that is too late cannot.
         self.offset_ms = offsets[(len(offsets) - 1) // 2]
         self.is_synchronized = 2 * len(offsets) > len(self._names)
--- a/badgeryoke/cluster/errors.py
+++ b/badgeryoke/cluster/errors.py
@@ -1,7 +1,7 @@
-"""What can go wrong with what the cluster shares, each kind a type of its own that says what an operator can do.
+"""The errors of the cluster, one type per kind, each with a remedy for operators.
 
-Errors are values, stored in logs and sent to other members by their tags and field names.  `docs/operators/errors.md`
-holds the same table of codes, meanings and remedies; a test keeps both in step.
+Errors are values, which are stored in logs and sent to other members under their tags and field names.
+`docs/operators/errors.md` lists the same codes, meanings (the docstrings) and remedies; a test compares the two.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class ClusterError(msgspec.Struct, frozen=True, tag_field="error"):
-    """Any error: `detail` is what happened, `subject` to whom (a group, a member, a contract, a key).
+    """Any error: `detail` is what happened, `subject` what it concerns (a group, a member, a contract, a key).
 
     Both are stored and sent under their earlier names.
     """
@@ -20,9 +20,9 @@
     subject: str = msgspec.field(name="whom")
     detail: str = msgspec.field(name="what")
 
-    code: ClassVar[str] = ""  # the tag, as operators see it
+    code: ClassVar[str] = ""  # the tag, which operators see
     remedy: ClassVar[str] = ""  # what an operator can do
-    is_retryable: ClassVar[bool] = False  # whether the same call with the same id may be made again at once
+    is_retryable: ClassVar[bool] = False  # whether the same call may be repeated at once with the same id
 
     def __str__(self) -> str:
         return f"{self.code}: {self.subject}: {self.detail}; {self.remedy}"
--- a/badgeryoke/cluster/events.py
+++ b/badgeryoke/cluster/events.py
@@ -1,4 +1,4 @@
-"""Events that the cluster's code takes in, and effects that it asks its caller to carry out: values only."""
+"""Events that the cluster's code handles, and effects that its caller has to carry out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """Term and vote (paper, figure 2); replaces the record before."""
+    """Term and vote (Raft paper, figure 2); replaces the previous record."""
 
     current_term: int
     voted_for: MemberId
@@ -23,14 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Entries:
-    """Entries at the end of the log; they replace all from the first one's index on."""
+    """Entries at the end of the log; they replace all stored entries from the index of the first one on."""
 
     entries: tuple[LogEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state up to `last_included_index`, in place of the entries up to there; `body` is the state machine's."""
+    """The state up to `last_included_index`, which replaces the entries up to there.
+
+    `body` is the encoded state of the state machine.
+    """
 
     last_included_index: int
     last_included_term: int
@@ -40,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscardGroup:
-    """The member keeps no replica of the group any more."""
+    """Delete everything stored for the group: the member no longer holds a replica of it."""
 
 
 Record = HardState | Entries | Snapshot | DiscardGroup
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistedGroup:
-    """What stable storage returns of one group when the process starts."""
+    """What stable storage holds for one group when the process starts."""
 
     current_term: int = 0
     voted_for: MemberId = ""
@@ -56,12 +59,12 @@
     entries: tuple[LogEntry, ...] = ()
 
 
-# Effects of a replica, and of the node that holds many
+# Effects of a replica, and of a node, which holds many replicas
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a member.  It may be lost, late, out of order or duplicated."""
+    """Send a message to a member.  Delivery may fail, be delayed or reordered, or happen twice."""
 
     to: MemberId
     message: AnyMessage
@@ -69,9 +72,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistRecords:
-    """Put records on stable storage, in order, then report `RecordsPersisted(group, sequence)`.
+    """Write records to stable storage, in order, then report `RecordsPersisted(group, sequence)`.
 
-    Several may be open, and many groups' may share one fsync; they are reported in the order of the effects.
+    Several writes may be in flight, and writes of many groups may share one fsync; they are reported in the order of
+    the effects.
     """
 
     group: str
@@ -81,15 +85,15 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationCompleted:
-    """A proposal, a read or a membership change has ended: the state machine's result, or a `ClusterError`."""
+    """A proposal, a read or a membership change has completed with a result or a `ClusterError`."""
 
     token: str
-    result: Any  # each state machine has its own result type
+    result: Any  # each kind of operation has its own result type
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """A line in the operators' log: its level, the event's name, and its fields."""
+    """A line for the operators' log: its level, the name of the event, and its fields."""
 
     level: str
     event: str
@@ -103,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """The time that was asked for by `due_ms` has come."""
+    """The time at which a Tick was due has come."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -124,14 +128,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageFailure:
-    """Stable storage has failed: this member answers nothing from here on."""
+    """Stable storage has failed: this member acknowledges nothing any more."""
 
     error: ClusterError
 
 
 @dataclass(frozen=True, slots=True)
 class ProposeCommand:
-    """Append a command to the log; `OperationCompleted` bears the state machine's result once it is applied."""
+    """Append a command to the log; `OperationCompleted` carries the state machine's result once it is applied."""
 
     token: str
     body: bytes
@@ -139,13 +143,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadIndexRequest:
-    """`OperationCompleted(token, None)` once all that was acknowledged before is applied here (read index)."""
+    """Request `OperationCompleted(token, None)` once every write acknowledged so far is applied here (read index)."""
 
     token: str
 
 
 class MembershipAction(StrEnum):
-    """What a membership change does with the member."""
+    """The action of a membership change."""
 
     LEARN = "learn"  # add it as a learner
     PROMOTE = "promote"  # make the learner a voter
@@ -179,12 +183,12 @@
     | TransferLeadership
 )
 
-# Further events of a node
+# Events of a node
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterCall:
-    """A command for the group that holds its key, from the operators' FLEET call or from this gateway.
+    """A command for the group that holds its key, from an operator's FLEET call or from this gateway.
 
     The node answers with `OperationCompleted` exactly once, within `Timings.call_ms`.
     """
@@ -195,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaveCluster:
-    """Graceful shutdown: leadership of all groups is transferred, then `OperationCompleted(token, None)`."""
+    """Graceful shutdown: transfer the leadership of all groups, then report `OperationCompleted(token, None)`."""
 
     token: str
 
--- a/badgeryoke/cluster/invariants.py
+++ b/badgeryoke/cluster/invariants.py
@@ -1,7 +1,7 @@
-"""Rules that the code itself has to keep, each named and stated once, checked where state changes.
+"""The invariants of the cluster's code, each named and stated once, and checked where state changes.
 
-In tests and the testbed a broken one raises `InvariantViolation` with the facts.  In service it is recorded: the part it
-concerns stops promising and says so, and requests go on.
+In tests and the testbed a violation raises `InvariantViolation` with the facts.  In production it is recorded and
+logged: the part concerned stops acknowledging writes, and client requests are still served.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Rule(Enum):
-    """Every invariant, with its statement."""
+    """Every invariant with its statement.  The names are stored and logged, so they stay."""
 
     ONE_LEADER = "no term of a group has two leaders"
     VOTE_ONCE = "no member votes for two in one term, or as an incarnation that lost its votes"
@@ -33,7 +33,7 @@
 
 
 class InvariantViolation(AssertionError):
-    """A rule that does not hold, in tests and the testbed."""
+    """Raised for a violated invariant in strict mode (tests and the testbed)."""
 
     def __init__(self, rule: Rule, facts: str) -> None:
         super().__init__(f"{rule.name}: {rule.value}: {facts}")
@@ -41,13 +41,13 @@
 
 
 class Invariants:
-    """Checks of one process.
+    """Checks the invariants of one process.
 
-    `strict`: raise `InvariantViolation`; else keep the rule in `broken` and call `on_broken` with it and the facts.
-    `count` is how often a rule was broken.
+    A violation is counted in `count`, recorded in `broken` (rule and facts) and passed to `on_broken`; if `strict`, it
+    is then raised as `InvariantViolation`.
     """
 
-    MAX_RECORDED = 64  # broken rules kept in `broken`; further ones are only counted
+    MAX_RECORDED = 64  # violations kept in `broken`; further ones are only counted
 
     def __init__(self, strict: bool = True, on_broken: Callable[[Rule, str], None] | None = None) -> None:
         self._strict, self._on_broken = strict, on_broken
@@ -55,7 +55,7 @@
         self.count = 0
 
     def check(self, rule: Rule, holds: bool, facts: Callable[[], str]) -> bool:
-        """Whether the rule holds here; `facts` is called only where it does not, so that a check is cheap."""
+        """Record a violation unless `holds`, and return `holds`.  `facts` is called only for a violation."""
         if holds:
             return True
         self.count += 1
--- a/badgeryoke/cluster/key_value.py
+++ b/badgeryoke/cluster/key_value.py
@@ -1,4 +1,4 @@
-"""A small replicated key-value store: notes of operators, and what the testbed counts losses with."""
+"""A small replicated key-value store for operators' notes; the testbed uses it to detect lost writes."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from badgeryoke.cluster.errors import Overloaded
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 
-MAX_BYTES = 16 * 1024 * 1024  # of all names and values in one group, a part of what a snapshot may take
-MIN_ENTRY_BYTES = 2048  # what an entry counts for at least: so there are 8192 at most
-ENTRY_OVERHEAD_BYTES = 8  # of an entry's headers in a snapshot
+MAX_BYTES = 16 * 1024 * 1024  # names and values of one group; leaves room for other parts in a snapshot
+MIN_ENTRY_BYTES = 2048  # minimum size that an entry is accounted with, which limits a group to 8192 entries
+ENTRY_OVERHEAD_BYTES = 8  # MessagePack headers of an entry in a snapshot
 MAX_NAME_LENGTH = 128  # characters
 MAX_VALUE_LENGTH = 1024  # characters
 
 
 class PutValue(Command, frozen=True, kw_only=True, tag="Promise"):
-    """Stores `value` under `name`; the answer is the value before."""
+    """Stores `value` under `name`; the answer is the previous value."""
 
     name: str
     value: str
@@ -34,7 +34,7 @@
 
 
 class ReadValue(Command, frozen=True, kw_only=True, tag="PromiseRead"):
-    """Reads the value under `name`, null where there is none: as of a moment between call and answer."""
+    """Reads the value under `name`, null if there is none, as of a moment between call and answer (linearizable)."""
 
     reads: ClassVar[bool] = True
     name: str
@@ -48,7 +48,7 @@
 
 
 def entry_bytes(name: str, value: str) -> int:
-    """What an entry counts for."""
+    """The size in bytes that an entry is accounted with."""
     return max(len(name.encode()) + len(value.encode()) + ENTRY_OVERHEAD_BYTES, MIN_ENTRY_BYTES)
 
 
@@ -60,33 +60,33 @@
         self._stored_bytes = 0
 
     def apply(self, at_ms: float, command: PutValue) -> ApplyResult:
-        """Store a value; rejected with `Overloaded` where the group's bound is reached."""
-        before = self._values.get(command.name)
-        freed_bytes = 0 if before is None else entry_bytes(command.name, before)
+        """Store a value; rejected with `Overloaded` if the group would exceed `MAX_BYTES`."""
+        previous = self._values.get(command.name)
+        freed_bytes = 0 if previous is None else entry_bytes(command.name, previous)
         added_bytes = entry_bytes(command.name, command.value) - freed_bytes
         if added_bytes > 0 and self._stored_bytes + added_bytes > MAX_BYTES:
             detail = f"{MAX_BYTES} bytes are kept in this group at the most"
             return ApplyResult(error=Overloaded(command.name, detail))
         self._values[command.name] = command.value
         self._stored_bytes += added_bytes
-        return ApplyResult(before)
+        return ApplyResult(previous)
 
     def query(self, command: ReadValue) -> ApplyResult:
         """Read a value."""
         return ApplyResult(self._values.get(command.name))
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
-        """A leader has nothing to do for entries."""
+        """See `StateMachinePart.leader_tasks`; there are none for key-value entries."""
         return []
 
     def seen(self, now: float) -> None:
-        """No entry expires."""
+        """See `StateMachinePart.seen`; entries do not expire."""
 
     def dump(self) -> Any:
-        """The stored form, as plain data: values by name."""
+        """The values by name, as plain data for a snapshot."""
         return self._values
 
     def load(self, raw: Any) -> None:
-        """Replace all by what `dump` gave."""
+        """Replace the whole state with what `dump` returned."""
         self._values = dict(raw)
         self._stored_bytes = sum(entry_bytes(name, value) for name, value in self._values.items())
--- a/badgeryoke/cluster/leader_duties.py
+++ b/badgeryoke/cluster/leader_duties.py
@@ -1,4 +1,4 @@
-"""What this member proposes for the groups that it leads."""
+"""Proposes the commands that are due for the groups that this member leads."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from badgeryoke.cluster.state_machine.machine import GroupStateMachine
 from badgeryoke.cluster.state_machine_part import FLEET, Command, LeaderView
 
-MAX_PENDING_TASKS = 1024  # proposals of leaders here without an answer; further ones wait
-MAX_HEARD_IDS = 8192  # ids heard by one process; further ones are not counted on
+MAX_PENDING_TASKS = 1024  # unanswered calls of local leaders; further ones wait
+MAX_HEARD_IDS = 8192  # member ids recorded by one process; members beyond that are not treated as alive
 
 
 class LeaderDuties:
-    """Gathers what leaders may look at, and turns their tasks into calls."""
+    """Builds the `LeaderView` of the groups led here, and turns their leader tasks into calls."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         self._zones = {member.name: member.zone for member in setup.members}
         self._heard_ids: dict[MemberId, None] = {}
 
-    def note_heard(self, sender: MemberId) -> None:
-        """A message of this id came in."""
+    def record_sender(self, sender: MemberId) -> None:
+        """Record that this process has received a message from this member id."""
         if sender not in self._heard_ids and len(self._heard_ids) < MAX_HEARD_IDS:
             self._heard_ids[sender] = None
 
     def view(self, now: float, wall: float, replica: RaftNode, load: dict[str, float]) -> LeaderView:
-        """What the parts of a group led here may look at; `load` as in `ClusterNode.load`."""
+        """The view for the leader tasks of a group led here; `load` as in `ClusterNode.load`."""
         placement = self._follower.placement
         if replica.group == FLEET:
             parts = self._host.state_machines[FLEET].parts
@@ -51,26 +51,29 @@
                 wall, wall + parts["rolls"].planning_horizon_ms()
             )
             load = {**load, "promised": promised}
-        behind = {group: one.lagging for group, one in placement.groups.items() if one.lagging}
-        for group, led in self._host.replicas.items():
-            if led.leading:
-                behind[group] = led.lagging_learners() + self._follower.lagging_for_long(now, group, led)
+        lagging = {group: placed.lagging for group, placed in placement.groups.items() if placed.lagging}
+        for group, local in self._host.replicas.items():
+            if local.leading:
+                lagging[group] = local.lagging_learners() + self._follower.lagging_for_long(now, group, local)
         return LeaderView(
             now,
             wall,
             self._setup.member_id,
             replica.leader_since_ms,
             self._setup.timings,
-            self._living(),
+            self._alive_and_heard(),
             self._membership.dead_for_ms(now),
             self._zones,
             load,
             placement.voters() or self._host.voters_by_group,
-            behind,
+            lagging,
         )
 
-    def _living(self) -> frozenset[MemberId]:
-        """Alive members that this process has heard itself: one just started knows of nobody."""
+    def _alive_and_heard(self) -> frozenset[MemberId]:
+        """Alive members from which this process has received a message, and this member itself.
+
+        Right after a start that is this member alone, whatever gossip says.
+        """
         return frozenset(
             member
             for member in self._membership.alive_ids()
@@ -85,7 +88,7 @@
         load: dict[str, float],
         connection_limits: dict[str, int],
     ) -> list[Effect]:
-        """Call what the leader of a group has to propose now; `connection_limits` by server."""
+        """Make the calls that the leader of a group has to propose now; `connection_limits` is keyed by server."""
         effects: list[Effect] = []
         state_machine = self._host.state_machines[replica.group]
         commands = state_machine.leader_tasks(self.view(now, wall, replica, load))
@@ -100,7 +103,7 @@
     def _limit_commands(
         self, group: str, state_machine: GroupStateMachine, connection_limits: dict[str, int]
     ) -> list[Command]:
-        """Servers of the group whose limit it does not know as this gateway does."""
+        """Commands for servers of the group whose stored connection limit differs from this gateway's."""
         assert self._host.record is not None
         group_count = self._host.record.group_count
         known = state_machine.parts["connections"].servers
--- a/badgeryoke/cluster/messages.py
+++ b/badgeryoke/cluster/messages.py
@@ -1,11 +1,11 @@
-"""Messages between gateways: one message is one msgspec Struct.
+"""Messages between gateways; each is a msgspec Struct.
 
-On the wire a message is a MessagePack array of its tag and its fields in order, so the order and types of
-fields and the tags are fixed, while names of fields and types may change.
+On the wire a message is a MessagePack array of its tag and its fields in order.  The tags and the order and types of
+fields are therefore fixed, while the names of fields and types may change.
 
-A member is named in the operators' file; a member *as it is now* is its `MemberId`, "name/incarnation": the
-incarnation is drawn anew whenever its store is.  Votes and acknowledgements belong to a member id, never to a
-name.
+The operators' file lists members by name.  A `MemberId`, "name/incarnation", identifies a member together with its
+store: the incarnation is random and is generated anew with each new store.  Votes and acknowledgements belong to a
+member id, never to a name.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class GroupConfiguration(msgspec.Struct, frozen=True, array_like=True):
-    """The members that hold a replica of a group.  Learners receive all entries and have no vote."""
+    """The members that hold a replica of a group.  Learners receive all entries but have no vote."""
 
     voters: tuple[MemberId, ...]
     learners: tuple[MemberId, ...] = ()
@@ -35,9 +35,9 @@
 
 
 class EntryKind(IntEnum):
-    """What a log entry holds.  The numbers are on the wire and on disk."""
+    """What a log entry holds.  The numbers are used on the wire and on disk."""
 
-    NOTHING = 0  # the first entry of a new leader (paper, 8)
+    NOTHING = 0  # the first entry of a new leader (Raft paper, section 8)
     COMMAND = 1  # for the state machine
     CONFIG = 2  # a `GroupConfiguration` in MessagePack
 
@@ -45,8 +45,8 @@
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
     """One entry of a log.
 
-    `kind` is an `EntryKind`.  It is declared an int, so that an entry of a kind that this version does not
-    know still decodes; it is then applied without effect.
+    `kind` is an `EntryKind`, declared as an int so that an entry of a kind that this version does not know still
+    decodes; such an entry is applied without effect.
     """
 
     index: int
@@ -56,22 +56,22 @@
 
 
 class Message(msgspec.Struct, frozen=True, tag=True, array_like=True):
-    """Any message.  Each states its tag, which is on the wire."""
+    """Base class of all messages.  Each concrete message states its wire tag explicitly."""
 
 
 class GroupMessage(Message, frozen=True):
-    """A message of one group's replication; `term` is the sender's current term, except in a pre-vote."""
+    """A Raft message of one group; `term` is the sender's current term, except in a pre-vote."""
 
     group: str
     term: int
 
 
 class RequestVote(GroupMessage, frozen=True, tag="Ask"):
-    """A candidate requests a vote (paper, 5.2).
+    """A candidate requests a vote (Raft paper, 5.2).
 
-    `pre_vote`: the candidate only polls whether a vote would be granted in the next term, which `term` then
-    is; nothing is persisted by it (dissertation, 9.6).  `leadership_transfer`: the leader has transferred its
-    leadership, so that members that have just heard a leader vote all the same (dissertation, 4.2.3).
+    `pre_vote`: the candidate only polls whether a vote would be granted in the next term, which is then the value of
+    `term`; nothing is persisted (Raft dissertation, 9.6).  `leadership_transfer`: the leader is transferring its
+    leadership, so members grant the vote even if they have heard from a leader recently (Raft dissertation, 4.2.3).
     """
 
     last_log_index: int
@@ -88,9 +88,9 @@
 
 
 class AppendEntries(GroupMessage, frozen=True, tag="Append"):
-    """The leader's entries after `prev_log_index`; without entries it is a heartbeat (paper, 5.3).
+    """The leader's entries after `prev_log_index`; without entries it is a heartbeat (Raft paper, 5.3).
 
-    `heartbeat_round` comes back in the reply and confirms reads (dissertation, 6.4).
+    The reply repeats `heartbeat_round`, which confirms reads (Raft dissertation, 6.4).
     """
 
     prev_log_index: int
@@ -103,8 +103,8 @@
 class AppendEntriesReply(GroupMessage, frozen=True, tag="Appended"):
     """The reply to `AppendEntries`, and to the last chunk of a snapshot.
 
-    `index`: on success, up to where the follower's persisted log matches; otherwise the index that the leader
-    has to send next.
+    `index`: on success, the last index up to which the follower's persisted log matches; otherwise the next index that
+    the leader has to send.
     """
 
     success: bool
@@ -113,7 +113,7 @@
 
 
 class InstallSnapshotChunk(GroupMessage, frozen=True, tag="Piece"):
-    """Part of a snapshot, from byte `offset_bytes` of `total_bytes` (paper, figure 13)."""
+    """Part of a snapshot, from byte `offset_bytes` of `total_bytes` (Raft paper, figure 13)."""
 
     last_included_index: int
     last_included_term: int
@@ -125,7 +125,7 @@
 
 
 class InstallSnapshotChunkReply(GroupMessage, frozen=True, tag="PieceTaken"):
-    """The reply to a chunk: how much of the snapshot the follower has received."""
+    """The reply to a chunk: the number of bytes of the snapshot that the follower has received."""
 
     last_included_index: int
     received_bytes: int
@@ -133,11 +133,11 @@
 
 
 class TimeoutNow(GroupMessage, frozen=True, tag="Lead"):
-    """The leader transfers its leadership: start an election at once (dissertation, 3.10)."""
+    """The leader transfers its leadership: the receiver starts an election at once (Raft dissertation, 3.10)."""
 
 
 class ForwardedCall(Message, frozen=True, tag="Forward"):
-    """A call forwarded to the leader of its group; `hops`: how often it has been forwarded."""
+    """A call forwarded to the leader of its group.  `hops` is sent but not evaluated."""
 
     token: str
     group: str
@@ -155,8 +155,8 @@
 class Ping(Message, frozen=True, tag="Ping"):
     """The probe of SWIM (Das, Gupta and Motivala, 2002).
 
-    `target`: the member that is probed (a restarted process answers for nobody else).  `wall_clock_ms`: the
-    sender's, Unix ms; 0 where it reports none.
+    `target`: the probed member id; a process answers only for its own id.  `wall_clock_ms`: the sender's wall clock
+    (Unix ms), 0 if not reported.
     """
 
     seq: int
@@ -175,8 +175,10 @@
 
 
 class PingRequest(Message, frozen=True, tag="PingFor"):
-    """Probe `target` on behalf of the sender (SWIM's indirect probe).  A proxy that hears nothing replies
-    with `Nack` (Lifeguard; Dadgar, Phillips and Currey, 2017)."""
+    """Requests a probe of `target` on behalf of the sender (SWIM's indirect probe).
+
+    A proxy that gets no answer replies with `Nack` (Lifeguard; Dadgar, Phillips and Currey, 2017).
+    """
 
     seq: int
     target: MemberId
@@ -184,7 +186,7 @@
 
 
 class Nack(Message, frozen=True, tag="Nack"):
-    """The proxy is alive, and has heard nothing of the target."""
+    """The proxy is alive, and the target has not answered it."""
 
     seq: int
     target: MemberId
@@ -192,8 +194,11 @@
 
 
 class GossipUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """Gossip about a member: `state` 0 alive, 1 suspected, 2 dead, 3 left; `count` is SWIM's incarnation
-    number, which the member itself raises to refute a suspicion; `by` is the member that suspects it."""
+    """Gossip about the member `who`.
+
+    `state`: 0 alive, 1 suspected, 2 dead, 3 left.  `count`: SWIM's incarnation number, which only the member itself
+    increments, to refute a suspicion.  `by`: the member that suspects it.
+    """
 
     who: MemberId
     state: int
@@ -202,21 +207,20 @@
 
 
 class IdentityQuery(Message, frozen=True, tag="WhoAreYou"):
-    """A member without a bootstrap record polls for one."""
+    """A member without a bootstrap record asks another member for it."""
 
     sender_zone: str
 
 
 class Announce(Message, frozen=True, tag="IAm"):
-    """The reply to `IdentityQuery`; `bootstrap_record` is MessagePack, empty where there is none yet."""
+    """The reply to `IdentityQuery`; `bootstrap_record` is MessagePack, empty if there is none yet."""
 
     zone: str
     bootstrap_record: bytes
 
 
 class ClusterFounded(Message, frozen=True, tag="Found"):
-    """The founder distributes the bootstrap record; accepted only by a member that has none and is named in
-    it."""
+    """The creator distributes the bootstrap record to the founders; a member that has a record ignores it."""
 
     bootstrap_record: bytes
 
@@ -242,8 +246,10 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """The content of one frame on a connection.  `to`: the receiver's member id, empty where only its name is
-    known."""
+    """The content of one frame on a connection.
+
+    `to`: the receiver's member id; "NAME", "NAME/" or empty if its incarnation is not known.
+    """
 
     version: int
     cluster: str  # the name of the cluster
--- a/badgeryoke/cluster/node.py
+++ b/badgeryoke/cluster/node.py
@@ -1,8 +1,8 @@
-"""One gateway's part in the cluster: membership, the replicas of its groups, its calls and its leases.
+"""One gateway as a cluster node: membership, the replicas of its groups, its calls and its leases.
 
-The same object runs in a gateway (`badgeryoke/gateway/cluster/service`) and in simulated time
-(`badgeryoke/testbed/cluster_simulation/world`); both hand it events and carry out its effects, and nothing else
-decides.  Times named `now` are of the monotonic clock, `wall` is Unix time; both in ms.
+The same class runs in a gateway (`badgeryoke/gateway/cluster/service`) and in simulated time
+(`badgeryoke/testbed/cluster_simulation/world`).  Both pass it events and carry out its effects; all decisions are made
+here.  `now` is the monotonic clock and `wall` is Unix time, both in ms.
 """
 
 from __future__ import annotations
@@ -58,15 +58,16 @@
 
 __all__ = ["ANY_SERVER", "BOOTSTRAP_GROUP", "ClusterNode", "LeaseClient", "Member", "NodeSetup"]
 
-POLL_INTERVAL_MS = 50.0  # lease clients are polled so often
-LEAVE_TIMEOUT_ELECTIONS = 2  # times `election_ms`, to hand all groups over before a graceful shutdown
+POLL_INTERVAL_MS = 50.0  # between polls of the lease clients
+LEAVE_TIMEOUT_ELECTIONS = 2  # a graceful shutdown waits this many `election_ms` for leadership transfers
 
 
 class ClusterNode:
-    """Takes events in, and gives effects.  The next Tick has to come by `due` at the latest.
+    """Handles events and returns effects.  The next Tick is needed by `due` at the latest.
 
-    The gateway may set at any time: `load`, what it knows of capacity and demand (units a second);
-    `connection_limits` of servers; `avoid_leadership`, so that groups led here go to others; `lease_clients`.
+    The gateway may set at any time: `load`, the capacity and demand that it knows of (units per second);
+    `connection_limits`, by server; `avoid_leadership`, which transfers the groups led here to other members; and
+    `lease_clients`.
     """
 
     def __init__(
@@ -103,13 +104,13 @@
         self.leader_duties = LeaderDuties(
             setup, self.host, self.membership, self.router, self.placement_follower
         )
-        self._storage_error: ClusterError | None = None  # why this member promises nothing
-        self._departure: tuple[str, float] | None = None  # the token of `LeaveCluster`, and the deadline
+        self._storage_error: ClusterError | None = None  # set once this member acknowledges nothing any more
+        self._pending_leave: tuple[str, float] | None = None  # the token of `LeaveCluster`, and the deadline
         self._open_if_bootstrapped(now)
 
     @property
     def due(self) -> float:
-        """When the next Tick has to come at the latest."""
+        """When the next Tick is needed at the latest (ms, clock of `now`)."""
         return self._timers.due_at
 
     @property
@@ -125,14 +126,14 @@
     # Events
 
     def handle(self, now: float, wall: float, event: NodeEvent) -> list[Effect]:
-        """Take an event in; gives the effects in order."""
+        """Handle an event; returns the effects in order."""
         cluster_time = wall + self.clock.offset_ms
         if isinstance(event, MessageReceived):
-            self.leader_duties.note_heard(event.sender)
+            self.leader_duties.record_sender(event.sender)
             effects = self._receive(now, wall, cluster_time, event)
         else:
             effects = self._handle_local(now, wall, cluster_time, event)
-        if isinstance(event, Tick) or now >= self.due or self._departure is not None:
+        if isinstance(event, Tick) or now >= self.due or self._pending_leave is not None:
             effects += self._tick(now, wall)
         return effects
 
@@ -172,14 +173,14 @@
             case StorageFailure():
                 return self._fail_storage(now, event)
             case ClusterCall(token=token, command=command):
-                return self.router.call(now, cluster_time, command, _completing(token))
+                return self.router.call(now, cluster_time, command, _completion_handler(token))
             case LeaveCluster(token=token):
                 return self._leave(now, wall, token)
             case Tick():
                 return []
 
     def _fail_storage(self, now: float, event: StorageFailure) -> list[Effect]:
-        """Every replica here stops promising anything."""
+        """Report the failure to every local replica, so that none acknowledges anything any more."""
         self._storage_error = self._storage_error or event.error
         effects: list[Effect] = [
             LogEvent("error", "promises nothing more", {"error": str(event.error)}),
@@ -191,7 +192,7 @@
 
     def _leave(self, now: float, wall: float, token: str) -> list[Effect]:
         deadline = now + LEAVE_TIMEOUT_ELECTIONS * self.setup.timings.election_ms
-        self._departure, self.host.is_leaving = (token, deadline), True
+        self._pending_leave, self.host.is_leaving = (token, deadline), True
         effects = _with_wall_clock(wall, self.membership.leave())
         return effects + self.host.transfer_all_leadership(now)
 
@@ -217,7 +218,7 @@
     # Time
 
     def _tick(self, now: float, wall: float) -> list[Effect]:
-        """Do all that is due, and find when the next Tick has to come."""
+        """Run everything that is due, and compute when the next Tick is needed."""
         cluster_time = wall + self.clock.offset_ms
         effects: list[Effect] = []
         if self.bootstrap.due <= now:
@@ -232,7 +233,7 @@
             effects += self._run_leader_tasks(now, cluster_time)
         if self._timers.poll_at <= now or self._lease_clients_due() <= now:
             effects += self._poll_lease_clients(now, cluster_time)
-        effects += self._finish_departure(now)
+        effects += self._finish_leave(now)
         self._timers.due_at = self._next_due()
         return effects
 
@@ -249,7 +250,7 @@
         return effects + self.placement_follower.run_timer(now, cluster_time)
 
     def _lease_clients_due(self) -> float:
-        """When a lease client wants to be polled before its usual time."""
+        """When the next lease client asks to be polled before the regular interval (ms); infinite if none does."""
         if self.host.record is None:
             return math.inf
         return min((getattr(client, "due", math.inf) for client in self.lease_clients), default=math.inf)
@@ -261,20 +262,22 @@
         effects: list[Effect] = []
         for client in self.lease_clients:
             for command in client.poll(now, cluster_time):
-                effects += self.router.call(now, cluster_time, command, _answering(client, command))
+                effects += self.router.call(
+                    now, cluster_time, command, _lease_client_handler(client, command)
+                )
                 if command.reads and not command.key():
-                    effects += self.placement_follower.read_along(now, cluster_time)
+                    effects += self.placement_follower.read_if_stale(now, cluster_time)
         return effects
 
-    def _finish_departure(self, now: float) -> list[Effect]:
-        """A graceful shutdown is complete once no group with other voters is led here, or its time is over."""
-        if self._departure is None:
+    def _finish_leave(self, now: float) -> list[Effect]:
+        """Complete a graceful shutdown once no group with other voters is led here, or its deadline has passed."""
+        if self._pending_leave is None:
             return []
-        token, deadline = self._departure
+        token, deadline = self._pending_leave
         leads = any(replica.leading and len(replica.config.voters) > 1 for replica in self.replicas.values())
         if leads and now < deadline:
             return []
-        self._departure, self.host.is_leaving = None, False
+        self._pending_leave, self.host.is_leaving = None, False
         return [OperationCompleted(token, None)]
 
     def _next_due(self) -> float:
@@ -291,9 +294,9 @@
     # For operators
 
     def status(self) -> dict[str, Any]:
-        """Members as believed, groups with leader, replicas and lag; whether this member promises anything.
+        """The states of the members, each local group's leader and replicas, and whether writes are acknowledged.
 
-        Plain data: its keys are those of the operators' call.
+        Plain data; its keys are those of the operators' status call.
         """
         return {
             "me": self.me,
@@ -316,8 +319,8 @@
     }
 
 
-def _completing(token: str) -> ResultHandler:
-    """Completes an operation with a call's result."""
+def _completion_handler(token: str) -> ResultHandler:
+    """A handler that completes the operation `token` with a call's result."""
 
     def on_result(now: float, result: CallResult) -> list[Effect]:
         return [OperationCompleted(token, result)]
@@ -325,8 +328,8 @@
     return on_result
 
 
-def _answering(client: LeaseClient, command: Command) -> ResultHandler:
-    """Hands a call's result to the lease client that asked for it."""
+def _lease_client_handler(client: LeaseClient, command: Command) -> ResultHandler:
+    """A handler that passes a call's result to the lease client that requested the call."""
 
     def on_result(now: float, result: CallResult) -> list[Effect]:
         client.answered(now, command, result)
@@ -336,7 +339,7 @@
 
 
 def _with_wall_clock(wall: float, effects: Iterable[SendMessage | LogEvent]) -> list[Effect]:
-    """What membership sends, with this machine's wall clock in it."""
+    """The effects of the membership protocol, with this machine's wall clock added to each Ping and Ack."""
     return [
         SendMessage(effect.to, msgspec.structs.replace(effect.message, wall_clock_ms=wall))
         if isinstance(effect, SendMessage) and isinstance(effect.message, Ping | Ack)
--- a/badgeryoke/cluster/node_setup.py
+++ b/badgeryoke/cluster/node_setup.py
@@ -1,4 +1,4 @@
-"""What a node is given at its start, and what it asks of the gateway's lease clients."""
+"""The configuration of a node, and the interface of the gateway's lease clients."""
 
 from __future__ import annotations
 
@@ -10,35 +10,34 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 from badgeryoke.cluster.timings import Timings
 
-ANY_SERVER = "*"  # in `NodeSetup.connection_limits`: each server that is not named
-BOOTSTRAP_GROUP = ""  # the group under which a store keeps the bootstrap record, as a snapshot's body
+ANY_SERVER = "*"  # in `NodeSetup.connection_limits`: the default for servers that are not listed
+BOOTSTRAP_GROUP = ""  # the group name under which the bootstrap record is stored, as the body of a snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One member, as the operators' file names it."""
+    """One member from the operators' file."""
 
     name: str
     zone: str
-    address: str = ""  # HOST:PORT for the cluster's own connections
+    address: str = ""  # HOST:PORT for connections between members
 
 
 @dataclass(frozen=True, slots=True)
 class NodeSetup:
-    """What a node is given at its start."""
+    """The configuration of a node."""
 
     cluster_name: str
     member_name: str
-    incarnation: str  # drawn when the store was made; a new store is a new one
+    incarnation: str  # random, generated with the store; a new store means a new incarnation
     members: tuple[Member, ...]
     replication_factor: int = 3
-    group_count: int = 8  # beside the cluster's own
+    group_count: int = 8  # without the cluster's own group
     timings: Timings = field(default_factory=Timings)
-    capacity: float = 0.0  # units a second that contracts may take in all
+    capacity: float = 0.0  # units per second that all contracts together may reserve
     connection_limits: dict[str, int] = field(default_factory=dict)  # by server
-    connection_idle_ms: float = (
-        30_000.0  # so long after its last use a server has closed a connection for sure
-    )
+    # A server is certain to have closed a connection that was unused for this long.
+    connection_idle_ms: float = 30_000.0
 
     @property
     def member_id(self) -> MemberId:
@@ -47,13 +46,13 @@
 
 
 class LeaseClient(Protocol):
-    """This gateway's side of leases: asks for them, and knows when they expire.
+    """Requests and renews leases for this gateway.
 
-    One with an attribute `due` (ms, the monotonic clock) is polled by then, if that is before its usual time.
+    A client with an attribute `due` (ms, monotonic clock) is polled by then if that is before the regular poll.
     """
 
     def poll(self, now: float, wall: float) -> list[Command]:
-        """Calls to make now; one at a time for each key."""
+        """Return the calls to make now, at most one in flight per key."""
 
     def answered(self, now: float, command: Command, result: ApplyResult | ClusterError) -> None:
-        """Take the result of a call that this client asked for."""
+        """Handle the result of a call that this client requested."""
--- a/badgeryoke/cluster/placement_follower.py
+++ b/badgeryoke/cluster/placement_follower.py
@@ -1,4 +1,4 @@
-"""Follows the placement: reads it now and then, and brings the groups that are led here in line with it."""
+"""Reads the placement periodically, and changes the members of the groups led here to match it."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from badgeryoke.cluster.replica_host import ReplicaHost
 from badgeryoke.cluster.state_machine_part import ApplyResult
 
-LAGGING_AFTER_MS = 1000.0  # a voter that has not caught up for so long is reported
-IDLE_READ_INTERVAL_MS = 3000.0  # where nothing is led here: to know whom to ask
-LEADER_READ_INTERVAL_MS = 400.0  # where a group is led here, while not everything is settled
-SETTLED_READ_INTERVAL_MS = 1600.0  # where a group is led here, once everything was settled for a while
-SETTLED_AFTER_MS = 5000.0  # the next gateway of a rolling restart has begun by then
-CHANGE_READ_DELAY_MS = 50.0  # while a move is under way
-TIMER_SLACK_MS = 1.0  # timers that fall together count as due together
+LAGGING_AFTER_MS = 1000.0  # a voter that has not caught up for this long is reported
+IDLE_READ_INTERVAL_MS = 3000.0  # if no group is led here; the placement is then used only to route calls
+LEADER_READ_INTERVAL_MS = 400.0  # if a group is led here and the placement is not settled
+SETTLED_READ_INTERVAL_MS = 1600.0  # if a group is led here and the placement was settled for SETTLED_AFTER_MS
+SETTLED_AFTER_MS = 5000.0  # long enough for the next gateway of a rolling restart to have begun
+CHANGE_READ_DELAY_MS = 50.0  # while a replica is being moved
+TIMER_SLACK_MS = 1.0  # a read that is due within this time is made now
 
 
 class PlacementFollower:
-    """`placement`: as last read here; empty until then."""
+    """Keeps groups led here in line with `placement`, the placement as last read (empty before the first read)."""
 
     def __init__(
         self,
@@ -46,13 +46,13 @@
         self._tokens, self._timers = tokens, timers
         self.placement = PlacementDirectory(setup.timings, rules)
         self._is_reading = False
-        self._changing_groups: dict[str, None] = {}  # with a change of members under way here
-        # Voters of groups led here that have not caught up, by group and voter, and since when.
+        self._changing_groups: dict[str, None] = {}  # groups with a membership change in flight here
+        # Since when (ms) a voter of a group led here lags, by group and voter.
         self._lagging_since: dict[tuple[str, MemberId], float] = {}
         self._check_at = self._idle_read_at = self._unsettled_at = self._last_read_at = now
 
     def run_timer(self, now: float, wall: float) -> list[Effect]:
-        """Read the placement where that is due."""
+        """Read the placement if that is due."""
         if self._check_at > now:
             return []
         self._check_at = next_multiple(now, LEADER_READ_INTERVAL_MS)
@@ -63,14 +63,17 @@
             return self.read(now, wall)
         return []
 
-    def read_along(self, now: float, wall: float) -> list[Effect]:
-        """Another read of the cluster's own group goes out: join it unless the placement was read lately."""
+    def read_if_stale(self, now: float, wall: float) -> list[Effect]:
+        """Read the placement unless it was read recently.
+
+        Called when another read of the cluster's own group is sent, so that both are sent together.
+        """
         if now - self._last_read_at < SETTLED_READ_INTERVAL_MS / 2.0:
             return []
         return self.read(now, wall)
 
     def read(self, now: float, wall: float) -> list[Effect]:
-        """Read the placement, where a group is led here or it was not read for long."""
+        """Read the placement if a group is led here or the idle interval has passed, unless a read is in flight."""
         leads = any(replica.leading for replica in self._host.replicas.values())
         if self._is_reading or not (leads or self._idle_read_at <= now):
             return []
@@ -81,13 +84,13 @@
             self._is_reading = False
             if not isinstance(result, ApplyResult) or result.error is not None:
                 return []
-            self._take_over(result.value["state"])
+            self._load_placement(result.value["state"])
             return self._follow(at, wall)
 
         return self._router.call(now, wall, ReadPlacement(id=self._tokens.next()), on_result)
 
-    def _take_over(self, state: Any) -> None:
-        """`state`: the placement's snapshot form, as its query gives it."""
+    def _load_placement(self, state: Any) -> None:
+        """Adopt `state`, the placement in its snapshot form, and the member ids and voters in it."""
         self.placement = PlacementDirectory(self._timings, self._rules)
         self.placement.load(state)
         self._host.voters_by_group = self.placement.voters()
@@ -103,7 +106,7 @@
         return effects
 
     def advance_group(self, now: float, wall: float, group: str, replica: RaftNode) -> list[Effect]:
-        """One step of a change of members of a group that is led here, or the report of how they stand."""
+        """Make the next membership change of a group led here, or report its configuration if none is needed."""
         if replica.commit_index < replica.config_index:
             return []
         change = self.placement.next_membership_change(
@@ -128,7 +131,7 @@
 
         def on_completion(at: float, result: Any) -> list[Effect]:
             self._changing_groups.pop(group, None)
-            # The next step does not wait for its turn.
+            # Check the next step soon instead of at the next interval.
             self._check_at = min(self._check_at, at + CHANGE_READ_DELAY_MS)
             self._timers.leader_tasks_at = self._check_at
             return []
@@ -137,7 +140,10 @@
         return self._host.feed(now, group, replace(change, token=token))
 
     def _is_settled(self) -> bool:
-        """Whether all known members live, nothing moves and nobody lags: as last read, and in groups led here."""
+        """Whether all known members are alive, no replica is being moved and none lags.
+
+        This takes the placement as last read, and the replicas of the groups led here.
+        """
         if self.placement.moves or len(self._membership.alive_ids()) < len(self.placement.members):
             return False
         if any(group.lagging for group in self.placement.groups.values()):
@@ -148,9 +154,9 @@
         )
 
     def lagging_for_long(self, now: float, group: str, replica: RaftNode) -> tuple[MemberId, ...]:
-        """Voters that have not caught up for long, so that not each lag is an entry in the log.
+        """Voters that have lagged for `LAGGING_AFTER_MS`; a shorter lag is not worth a log entry.
 
-        A leader that has only just begun does not know for how long; it counts those not heard of yet.
+        A new leader does not know since when its voters lag, so it counts every lagging voter at first.
         """
         lagging = replica.lagging_voters()
         self._lagging_since = {
--- a/badgeryoke/cluster/replica_host.py
+++ b/badgeryoke/cluster/replica_host.py
@@ -1,4 +1,4 @@
-"""The replicas of groups at this member: makes them, hands them events and carries their results on."""
+"""Hosts the replicas of this member: creates them, passes them events and dispatches their results."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 from badgeryoke.cluster.state_machine.machine import GroupStateMachine
 from badgeryoke.cluster.state_machine_part import FLEET
 
-# Called with the time and what became of a proposal, a read or a change of members: a result of its kind, or an error.
+# Called with the time (ms) and the result of a proposal, a read or a membership change, which may be an error.
 CompletionHandler = Callable[[float, Any], list[Effect]]
 
 
@@ -35,7 +35,7 @@
 
 
 class ReplicaHost:
-    """All replicas here, by group, each with its state machine.  Empty until `open`."""
+    """The replicas of this member and their state machines, by group.  Empty until `open`."""
 
     def __init__(
         self,
@@ -50,14 +50,14 @@
         self.record: BootstrapRecord | None = None
         self.replicas: dict[str, RaftNode] = {}
         self.state_machines: dict[str, GroupStateMachine] = {}
-        self.voters_by_group: dict[str, tuple[MemberId, ...]] = {}  # as last heard
+        self.voters_by_group: dict[str, tuple[MemberId, ...]] = {}  # as last read from the placement
         self._initial_voters: dict[str, tuple[MemberId, ...]] = {}
-        self.is_leaving = False  # this process ends on purpose
+        self.is_leaving = False  # a graceful shutdown is in progress
         self._handlers: dict[str, CompletionHandler] = {}  # by token
-        self._rolling_restart = "", 0  # the one under way, and its changes when last looked at
+        self._rolling_restart = "", 0  # name and version of the active one when last checked
 
     def open(self, now: float, record: BootstrapRecord) -> None:
-        """The cluster is bootstrapped: make the replicas that were stored, or that are placed here."""
+        """Create the replicas that are stored, or initially placed, on this member, once the cluster is bootstrapped."""
         self.record = record
         self.voters_by_group = self._initial_voters = initial_placement(record)
         for group, voters in self.voters_by_group.items():
@@ -67,14 +67,14 @@
             self.replica(now, group)
 
     def replica(self, now: float, group: str) -> RaftNode | None:
-        """The replica of a group; an empty one, which waits for its leader, where there was none.
+        """The replica of a group, created if there is none; a created one waits to hear from its leader.
 
-        None for a group that is not known.
+        None for an unknown group.
         """
-        found = self.replicas.get(group)
-        if found is None and group in self.voters_by_group:
-            found = self.replicas[group] = self._make_replica(now, group)
-        return found
+        replica = self.replicas.get(group)
+        if replica is None and group in self.voters_by_group:
+            replica = self.replicas[group] = self._make_replica(now, group)
+        return replica
 
     def _make_replica(self, now: float, group: str) -> RaftNode:
         state_machine = self.state_machines[group] = GroupStateMachine(group, self._timings, self._rules)
@@ -82,7 +82,7 @@
             assert self.record is not None
             state_machine.parts["placing"].initialize(self.record)
         saved = self._saved.pop(group, PersistedGroup())
-        # Only a founder starts from the initial placement: who comes in later waits for its leader.
+        # Only a founder starts from the initial placement; a member that is added later waits for the leader.
         voters = self._initial_voters.get(group, ())
         config = GroupConfiguration(voters) if self._member_id in voters else None
         return RaftNode(
@@ -98,16 +98,16 @@
         )
 
     def leading_replica(self, group: str) -> RaftNode | None:
-        """The replica here, where it leads its group."""
+        """The local replica of a group if it leads the group, else None."""
         replica = self.replicas.get(group)
         return replica if replica is not None and replica.leading else None
 
     def on_completion(self, token: str, handler: CompletionHandler) -> None:
-        """Have `handler` called when the operation with this token completes."""
+        """Register `handler` for the completion of the operation with this token."""
         self._handlers[token] = handler
 
     def feed(self, now: float, group: str, event: ReplicaEvent) -> list[Effect]:
-        """Hand a replica an event; completed operations go to their handlers, other effects are given back."""
+        """Pass an event to a replica; completed operations go to their handlers, other effects are returned."""
         replica = self.replicas[group]
         broken_before = self._rules.count
         effects: list[Effect] = []
@@ -116,29 +116,29 @@
                 effects += self._handlers.pop(effect.token, _ignore)(now, effect.result)
             else:
                 effects.append(effect)
-        self._timers.bring_forward(replica.due_ms)  # one that has become later costs an idle Tick
+        self._timers.bring_forward(replica.due_ms)  # if it has moved later instead, the earlier Tick is idle
         if group == FLEET and replica.leading:
-            self._hasten_rolling_restart(now)
+            self._check_rolling_restart(now)
         if self._rules.count != broken_before and not isinstance(event, StorageFailure):
             effects += self._stop_replica(now, group)
         return effects
 
     def _stop_replica(self, now: float, group: str) -> list[Effect]:
-        """A broken invariant: the replica promises nothing from here on."""
+        """Stop a replica that violated an invariant: it acknowledges nothing any more."""
         rule, facts = self._rules.broken[-1]
         error = InvariantBroken(group, f"{rule.name}: {facts}")
         event = LogEvent("error", "invariant broken", {"group": group, "error": str(error)})
         return [event, *self.feed(now, group, StorageFailure(error))]
 
-    def _hasten_rolling_restart(self, now: float) -> None:
-        """A rolling restart made progress: its leader looks at it at once, not at the next heartbeat."""
+    def _check_rolling_restart(self, now: float) -> None:
+        """After progress of a rolling restart run the leader tasks at once, not at the next heartbeat."""
         active = self.state_machines[FLEET].parts["rolls"].active
         if active is not None and (active.name, active.version) != self._rolling_restart:
             self._rolling_restart = active.name, active.version
             self._timers.leader_tasks_at = self._timers.due_at = now
 
     def transfer_all_leadership(self, now: float) -> list[Effect]:
-        """Hand every group that is led here to another voter."""
+        """Transfer the leadership of every group led here to another voter."""
         effects: list[Effect] = []
         for group, replica in self.replicas.items():
             if replica.leading:
--- a/badgeryoke/cluster/state_machine/command_registry.py
+++ b/badgeryoke/cluster/state_machine/command_registry.py
@@ -1,4 +1,4 @@
-"""Which part of the state machine takes which command, and the stored form of commands."""
+"""Maps commands to the parts of the state machine that handle them, and encodes and decodes commands."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 from badgeryoke.cluster.state_machine_part import Command, PartName
 from badgeryoke.cluster.timings import Timings
 
-MAX_NAMED_LENGTH = 64  # of an unknown command's name, in the error that quotes it
+MAX_QUOTED_NAME_LENGTH = 64  # an unknown command's name is truncated to this many characters in the error
 
-# Makes an empty part.  A part takes only its own commands, so it cannot be typed by `StateMachinePart` here.
+# Creates an empty part.  The result is `Any` because each part accepts only its own command types.
 PartFactory = Callable[[Timings, Invariants], Any]
 
 
 class CommandRegistry:
-    """Parts of the cluster's own group and of all other groups, with their commands."""
+    """The parts of the cluster's own group and of all other groups, with their commands."""
 
     def __init__(self) -> None:
         self.commands: dict[str, type[Command]] = {}  # by stored name
@@ -42,14 +42,14 @@
     def register_cluster_part(
         self, name: PartName, commands: tuple[type[Command], ...], factory: PartFactory
     ) -> None:
-        """Add a part of the cluster's own group; the order of parts is that of their tasks and snapshots."""
+        """Add a part of the cluster's own group; leader tasks and snapshots use the order of registration."""
         self.cluster_parts[name] = factory
         self._add_commands(name, commands)
 
     def register_group_part(
         self, name: PartName, commands: tuple[type[Command], ...], factory: PartFactory
     ) -> None:
-        """Add a part of all other groups."""
+        """Add a part of all other groups; the order counts as in `register_cluster_part`."""
         self.group_parts[name] = factory
         self._add_commands(name, commands)
 
@@ -60,7 +60,7 @@
 
     @cached_property
     def decoder(self) -> msgspec.msgpack.Decoder[tuple[float, Command]]:
-        """Reads an entry's body; made at its first use, when all commands are registered."""
+        """The decoder of entry bodies, created at its first use, when all commands are registered."""
         union: Any = reduce(or_, self.commands.values())
         return msgspec.msgpack.Decoder(tuple[float, union])
 
@@ -90,21 +90,21 @@
 
 
 def encode_command(at_ms: float, command: Command) -> bytes:
-    """An entry's body: the leader's time (Unix ms) and the command."""
+    """Encode the body of an entry: the time of the leader (Unix ms) and the command."""
     return _encoder.encode([at_ms, command])
 
 
 def decode_command(body: bytes) -> tuple[float, Command]:
-    """The reverse of `encode_command`; raises msgspec.DecodeError for anything else."""
+    """The inverse of `encode_command`; raises msgspec.DecodeError for any other input."""
     return REGISTRY.decoder.decode(body)
 
 
 def parse_command(name: str, fields: dict[str, Any]) -> Command | InvalidCall:
-    """A command from an operator's call, with its fields as read from JSON; checked."""
+    """Build and validate a command from an operator's call, with its fields as parsed from JSON."""
     kind = REGISTRY.commands.get(name)
     if kind is None:
         known = ", ".join(sorted(REGISTRY.commands))
-        return InvalidCall(name[:MAX_NAMED_LENGTH], f"unknown; known are {known}")
+        return InvalidCall(name[:MAX_QUOTED_NAME_LENGTH], f"unknown; known are {known}")
     try:
         command = msgspec.convert(fields, kind)
     except msgspec.ValidationError as fault:
--- a/badgeryoke/cluster/state_machine/machine.py
+++ b/badgeryoke/cluster/state_machine/machine.py
@@ -1,7 +1,7 @@
-"""What a group's log is applied to: its parts, the group's own time, and the answers to commands already applied.
+"""A group's state machine: its parts, the group's own time, and the answers to commands already applied.
 
-The cluster's own group holds contracts, placement and rolling restarts; every other group holds what hashing gives it:
-guaranteed rates of tenants, connection limits of servers, key-value entries and unreported usage.
+The cluster's own group holds contracts, placement and rolling restarts.  Every other group holds the keys that hash to
+it: guaranteed rates of tenants, connection limits of servers, key-value entries and unreported usage.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class GroupStateMachine:
-    """One group's state.  `at_ms` is the group's own time (Unix ms), `index` the last entry applied."""
+    """The state of one group.  `at_ms` is the group's own time (Unix ms), `index` the last applied index."""
 
     def __init__(self, group: str, timings: Timings, rules: Invariants) -> None:
         self.group, self._rules = group, rules
@@ -30,7 +30,7 @@
         self.answers = RememberedAnswers()
 
     def apply(self, now: float, index: int, body: bytes) -> ApplyResult:
-        """Apply one entry; `now` is this machine's monotonic clock (ms).  Raises only for a broken invariant."""
+        """Apply one entry; `now` is this machine's monotonic clock (ms).  Raises only for a violated invariant."""
         self._rules.check(
             Rule.APPLIED_ONCE, index > self.index, lambda: f"{self.group}: {index} after {self.index}"
         )
@@ -53,13 +53,13 @@
             return self._not_for_group(command)
         result: ApplyResult = part.apply(self.at_ms, command)
         part.seen(now)
-        if command.once and result.error is None:  # what was rejected changed nothing, and may be retried
+        if command.once and result.error is None:  # a rejected command changed nothing and may be retried
             self._rules.check(Rule.ID_ONCE, command.id not in self.answers, lambda: command.id)
             self.answers.add(command.id, checksum, result)
         return result
 
     def _part_for(self, command: Command) -> Any:
-        """The part that takes a command; None where this group has none."""
+        """The part that handles a command; None if this group has no such part."""
         return self.parts.get(REGISTRY.part_of[type(command)])
 
     def _not_for_group(self, command: Command) -> ApplyResult:
@@ -75,16 +75,16 @@
         return result
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
-        """What the leader has to propose now."""
+        """The commands that the leader has to propose now."""
         return [command for part in self.parts.values() for command in part.leader_tasks(view)]
 
     def dump(self) -> bytes:
-        """A snapshot, in MessagePack."""
+        """Encode a snapshot of the whole state in MessagePack."""
         parts = {name: part.dump() for name, part in self.parts.items()}
         return msgspec.msgpack.encode([self.at_ms, self.index, self.answers.dump(), parts])
 
     def restore(self, now: float, body: bytes) -> None:
-        """Replace all by a snapshot; a part that an older version did not know keeps what it has."""
+        """Replace the state with a snapshot; a part that is missing in an older version's snapshot is kept as it is."""
         self.at_ms, self.index, answers, parts = msgspec.msgpack.decode(body)
         self.answers.restore(answers)
         for name, part in self.parts.items():
--- a/badgeryoke/cluster/state_machine_part.py
+++ b/badgeryoke/cluster/state_machine_part.py
@@ -1,8 +1,8 @@
-"""A part of the state that a group's log is applied to, and the tasks of the group's leader for it.
+"""The interface of the parts of a group's state machine, and of the leader tasks of a part.
 
-Applying is the same at every replica: it knows no clock but `at_ms` (the group's own time, Unix ms, which never goes
-back) and no randomness.  What depends on a machine's own clock (that a lease has expired) is proposed as a command by
-the leader.
+Applying commands is deterministic at every replica: it uses no clock but `at_ms` (the group's own time, Unix ms, which
+never goes back) and no randomness.  Anything that depends on a machine's own clock, such as the expiry of a lease, is
+proposed by the leader as a command.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class PartName(StrEnum):
-    """The parts, by the names that snapshots hold."""
+    """The parts of the state machines; the values are the names stored in snapshots."""
 
     KEY_VALUE = "promises"
     PLACEMENT = "placing"
@@ -33,31 +33,31 @@
 
 
 class Command(msgspec.Struct, frozen=True, tag=True, kw_only=True):
-    """One entry's content.  The same `id` again is answered as the first time and changes nothing."""
+    """The content of a log entry.  A repeated `id` gets the answer of the first time and changes nothing."""
 
-    # Changes nothing: answered by `query` once the leader has confirmed that it still leads.
+    # Whether it changes nothing; it is then answered by `query` once the leader has confirmed that it still leads.
     reads: ClassVar[bool] = False
-    # Its id and answer are remembered; not for commands that state their own order (leases).
+    # Whether its id and answer are remembered; False for commands with their own sequence number (leases).
     once: ClassVar[bool] = True
 
     id: str
 
     @classmethod
     def command_name(cls) -> str:
-        """The name under which it is stored and called; the name of the type may change, this one may not."""
+        """The name under which the command is stored and called; it is fixed, while the type may be renamed."""
         return str(cls.__struct_config__.tag)
 
     def key(self) -> str:
-        """What decides the group: "" for the cluster's own, else "t:TENANT", "s:SERVER" or "p:NAME"."""
+        """The key that determines the group: "" for the cluster's own, else "t:TENANT", "s:SERVER" or "p:NAME"."""
         return ""
 
     def validate(self) -> str:
-        """The field at fault and what is wrong with it; empty where all is within bounds."""
+        """Describe the invalid field and its problem; empty if the command is valid."""
         return ""
 
 
 class ApplyResult(msgspec.Struct, frozen=True):
-    """What a command came to: `value` (plain data, stored and sent as such) or an error."""
+    """The result of a command: `value` (plain data, stored and sent as such) or an error."""
 
     value: Any = None
     error: AnyError | None = None
@@ -65,44 +65,44 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderView:
-    """What a leader's tasks may look at, beside the state."""
+    """The input of leader tasks in addition to the replicated state."""
 
-    now: float  # monotonic here, ms
+    now: float  # this machine's monotonic clock, ms
     wall: float  # the cluster's time, Unix ms
     me: MemberId
-    lead_since: float  # `now` when this leader began, and had applied all before
+    lead_since: float  # value of `now` when this leader had applied all earlier entries
     timings: Timings
-    alive: frozenset[MemberId]  # by membership, as an opinion
-    dead_for_ms: dict[MemberId, float]  # since this member believes it dead
-    zones: dict[str, str]  # the zone of each member's name
-    load: dict[str, float]  # figures that the gateway knows: "capacity", "demand", ... (units a second)
-    groups: dict[str, tuple[MemberId, ...]]  # voters of each group, as placed
-    behind: dict[str, tuple[MemberId, ...]]  # replicas of each group that have not caught up yet
+    alive: frozenset[MemberId]  # as seen by this member's failure detector
+    dead_for_ms: dict[MemberId, float]  # how long this member has considered each one dead
+    zones: dict[str, str]  # by member name
+    load: dict[str, float]  # the gateway's figures: "capacity", "demand", ... (units per second)
+    groups: dict[str, tuple[MemberId, ...]]  # voters of each group according to the placement
+    behind: dict[str, tuple[MemberId, ...]]  # replicas of each group that have not caught up
 
 
 class StateMachinePart(Protocol):
     """One part of a group's state.
 
-    `command` is `Any` here because each part takes its own commands; the registry sees to it that it gets no other.
+    `command` is `Any` because each part handles its own command types; the registry routes no others to it.
     """
 
     def apply(self, at_ms: float, command: Any) -> ApplyResult:
-        """Apply a command.  Never raises; a rejected one comes back as an error and changes nothing."""
+        """Apply a command.  Never raises; a rejected command returns an error and changes nothing."""
 
     def query(self, command: Any) -> ApplyResult:
         """Answer a command that only reads."""
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
-        """Commands that the leader proposes now, for this group or, by their key, another.
+        """Return the commands that the leader proposes now, for this group or, depending on their key, another.
 
-        Asked for at every heartbeat, so each has an id that makes a repeat harmless.
+        Called at every heartbeat; each command has an id that makes repeating it harmless.
         """
 
     def seen(self, now: float) -> None:
-        """Note that applied entries up to here were seen at `now` by this machine's clock, for what expires."""
+        """Record that all entries applied so far were applied by `now` (this machine's clock); expiry counts from it."""
 
     def dump(self) -> Any:
-        """All of it as plain data, for a snapshot."""
+        """Return the whole state as plain data, for a snapshot."""
 
     def load(self, raw: Any) -> None:
-        """Replace all by what `dump` gave."""
+        """Replace the whole state with what `dump` returned."""
