--- a/badgeryoke/cluster/connection_limits/limits.py
+++ b/badgeryoke/cluster/connection_limits/limits.py
@@ -206,7 +206,7 @@
         expired: dict[tuple[MemberId, str], list[LeaseReference]] = {}
         for server, limit in self.servers.items():
             expiry_ms = self.expiry_after_ms(limit.idle_timeout_ms)
-            for holder, lease_number in limit.pool.expired(view.now, expiry_ms, view.lead_since):
+            for holder, lease_number in limit.pool.expired(view.now, expiry_ms, view.leader_since_ms):
                 leases = expired.setdefault((holder, server_bucket(server)), [])
                 leases.append(LeaseReference(server, lease_number))
         return [
--- a/badgeryoke/cluster/placement/repair.py
+++ b/badgeryoke/cluster/placement/repair.py
@@ -51,7 +51,7 @@
 
 def is_overdue(view: LeaderView, since: float | None) -> bool:
     """Whether `MAX_MOVE_DURATION_MS` have passed since then, of which this leader saw all."""
-    return since is not None and view.now - max(since, view.lead_since) > MAX_MOVE_DURATION_MS
+    return since is not None and view.now - max(since, view.leader_since_ms) > MAX_MOVE_DURATION_MS
 
 
 class _BrokenGroup(NamedTuple):
@@ -111,7 +111,7 @@
 
     def _enrolments(self) -> list[PlacementCommand]:
         made: list[PlacementCommand] = []
-        for member in sorted(self.view.alive):
+        for member in sorted(self.view.alive_ids):
             name = member_name(member)
             is_listed = name in self.view.zones
             is_past = member in self.placement.past_ids.get(name, ())
@@ -233,7 +233,7 @@
         return [
             one
             for one in self.placement.members.values()
-            if one.id in self.view.alive and one.id not in placement.voters and self._may_learn(one.id)
+            if one.id in self.view.alive_ids and one.id not in placement.voters and self._may_learn(one.id)
         ]
 
     def _may_learn(self, member: MemberId) -> bool:
@@ -247,11 +247,11 @@
         dead_for_ms = self.view.dead_for_ms
         # A member whose incarnation was never heard of stands under its name alone.
         duration_ms = dead_for_ms.get(member, dead_for_ms.get(member_name(member) + "/", 0.0))
-        return member not in self.view.alive and duration_ms >= self.view.timings.repair_after_ms
+        return member not in self.view.alive_ids and duration_ms >= self.view.timings.repair_after_ms
 
     def _has_majority(self, placement: GroupPlacement) -> bool:
         """Whether a majority lives: otherwise the group can add no replica, and must not block others."""
         living = sum(
-            self.placement.is_present(voter) and voter in self.view.alive for voter in placement.voters
+            self.placement.is_present(voter) and voter in self.view.alive_ids for voter in placement.voters
         )
         return living >= placement.majority()
--- a/badgeryoke/cluster/placement/state.py
+++ b/badgeryoke/cluster/placement/state.py
@@ -110,8 +110,8 @@
         lines += [
             f"{group}: {member} is lost"
             for member in placement.voters
-            if not self.is_present(member) or member not in view.alive
+            if not self.is_present(member) or member not in view.alive_ids
         ]
-        lagging = dict.fromkeys((*placement.lagging, *view.behind.get(group, ())))
+        lagging = dict.fromkeys((*placement.lagging, *view.lagging_replicas.get(group, ())))
         lines += [f"{group}: {member} has not caught up" for member in lagging if member in placement.voters]
         return lines
--- a/badgeryoke/cluster/rolling_restart/observation.py
+++ b/badgeryoke/cluster/rolling_restart/observation.py
@@ -33,27 +33,31 @@
 
 
 def _alive_names(view: LeaderView) -> set[str]:
-    return {member_name(member) for member in view.alive}
+    return {member_name(member) for member in view.alive_ids}
 
 
 def _missing_copies(view: LeaderView, ended: set[str]) -> int:
     """Copies that are dead or behind.  A member that came back with an empty store has another id, and its
     copies are missing although a member of its name is alive."""
     dead = sum(
-        member_name(voter) not in ended and voter not in view.alive
-        for voters in view.groups.values()
+        member_name(voter) not in ended and voter not in view.alive_ids
+        for voters in view.voters_by_group.values()
         for voter in voters
     )
     behind = sum(
-        member_name(learner) not in ended for learners in view.behind.values() for learner in learners
+        member_name(learner) not in ended
+        for learners in view.lagging_replicas.values()
+        for learner in learners
     )
     return dead + behind
 
 
 def _spare_voters(view: LeaderView, without_copies: set[str]) -> int:
     spare = 1
-    for voters in view.groups.values():
-        remaining = sum(voter in view.alive and member_name(voter) not in without_copies for voter in voters)
+    for voters in view.voters_by_group.values():
+        remaining = sum(
+            voter in view.alive_ids and member_name(voter) not in without_copies for voter in voters
+        )
         spare = min(spare, remaining - (len(voters) // 2 + 1))
     return spare
 
--- a/badgeryoke/cluster/rolling_restart/scheduler.py
+++ b/badgeryoke/cluster/rolling_restart/scheduler.py
@@ -136,7 +136,7 @@
     if unknown or not names:
         named = ", ".join(unknown)[:MAX_TEXT_CHARACTERS] or request.zone
         return _restart_event(restart, RestartEvent.IMPOSSIBLE, f"no such gateway: {named}")
-    names.sort(key=lambda name: name == member_name(view.me))
+    names.sort(key=lambda name: name == member_name(view.member_id))
     return _restart_event(restart, RestartEvent.PLANNED, order=tuple(names), member_count=len(view.zones))
 
 
@@ -166,7 +166,7 @@
     A gateway that ended as planned is not dead, although the old process is seen as dead for a moment when
     the new one is back."""
     dead = {member_name(member) for member in view.dead_for_ms} - {
-        member_name(member) for member in view.alive
+        member_name(member) for member in view.alive_ids
     }
     for name, gateway in restart.gateways.items():
         if gateway.phase not in IN_PROGRESS_PHASES:
@@ -228,7 +228,7 @@
 
 def _next_wave(view: LeaderView, restart: RollingRestart) -> tuple[str, list[Command]]:
     """The next wave: in the order of the plan, each gateway for which conditions hold beside those before."""
-    alive = {member_name(member) for member in view.alive}
+    alive = {member_name(member) for member in view.alive_ids}
     wave: list[str] = []
     obstacle = ""
     for name, gateway in restart.gateways.items():
--- a/badgeryoke/cluster/state_machine_part.py
+++ b/badgeryoke/cluster/state_machine_part.py
@@ -69,15 +69,15 @@
 
     now: float  # this machine's monotonic clock, ms
     wall: float  # the cluster's time, Unix ms
-    me: MemberId
-    lead_since: float  # value of `now` when this leader had applied all earlier entries
+    member_id: MemberId
+    leader_since_ms: float  # value of `now` when this leader had applied all earlier entries
     timings: Timings
-    alive: frozenset[MemberId]  # as seen by this member's failure detector
+    alive_ids: frozenset[MemberId]  # as seen by this member's failure detector
     dead_for_ms: dict[MemberId, float]  # how long this member has considered each one dead
     zones: dict[str, str]  # by member name
     load: dict[str, float]  # the gateway's figures: "capacity", "demand", ... (units per second)
-    groups: dict[str, tuple[MemberId, ...]]  # voters of each group according to the placement
-    behind: dict[str, tuple[MemberId, ...]]  # replicas of each group that have not caught up
+    voters_by_group: dict[str, tuple[MemberId, ...]]  # voters of each group according to the placement
+    lagging_replicas: dict[str, tuple[MemberId, ...]]  # replicas of each group that have not caught up
 
 
 class StateMachinePart(Protocol):
--- a/tests/cluster/test_golden_cluster.py
+++ b/tests/cluster/test_golden_cluster.py
@@ -223,15 +223,15 @@
     return LeaderView(
         now=NODE_TIME_MS + 1e6,
         wall=START_MS + 900_000.0,
-        me="a/1",
-        lead_since=NODE_TIME_MS,
+        member_id="a/1",
+        leader_since_ms=NODE_TIME_MS,
         timings=Timings(),
-        alive=frozenset({"a/1", "b/5", "c/3"}),
+        alive_ids=frozenset({"a/1", "b/5", "c/3"}),
         dead_for_ms={"b/2": 1e6},
         load={"capacity": 900.0, "demand": 10.0},
         zones={"a": "east", "b": "west", "c": "east", "d": "west"},
-        groups={"g0": ("a/1", "b/5", "c/3"), "g1": ("a/1", "b/5", "c/3")},
-        behind={},
+        voters_by_group={"g0": ("a/1", "b/5", "c/3"), "g1": ("a/1", "b/5", "c/3")},
+        lagging_replicas={},
     )
 
 
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -588,7 +588,7 @@
     )
     assert made.replication_problems(view) == [] and not is_overdue(view, 0.0)
     voters = made.groups["g1"].voters
-    assert made.replication_problems(replace(view, behind={"g1": voters[:1]}))
+    assert made.replication_problems(replace(view, lagging_replicas={"g1": voters[:1]}))
     made.apply(0.0, ReplicaMoved(id="1", group="g1", voters=voters, number=1, behind=voters[1:2]))
     assert made.replication_problems(view)
     assert [replica_count(most, members) for most, members in ((5, 4), (4, 9), (3, 2), (3, 1))] == [
@@ -1157,14 +1157,16 @@
 def counted(wave: tuple[str, ...] = ("a",), **more: Any) -> ClusterConditions:
     made = rolling(at_once=3)
     given: dict[str, Any] = {
-        "alive": frozenset({"a/1", "b/1", "c/1", "d/1"}),
+        "alive_ids": frozenset({"a/1", "b/1", "c/1", "d/1"}),
         "zones": {"a": "x", "b": "y", "c": "y", "d": "y"},
         "load": {},
-        "behind": {},
-        "groups": {"g0": ("b/1", "c/1", "d/1")},
+        "lagging_replicas": {},
+        "voters_by_group": {"g0": ("b/1", "c/1", "d/1")},
         **more,
     }
-    view = LeaderView(now=0.0, wall=0.0, me="d/1", lead_since=0.0, timings=Timings(), dead_for_ms={}, **given)
+    view = LeaderView(
+        now=0.0, wall=0.0, member_id="d/1", leader_since_ms=0.0, timings=Timings(), dead_for_ms={}, **given
+    )
     return observe_conditions(view, made.restarts["r"], wave)
 
 
@@ -1172,8 +1174,8 @@
     assert counted(("b",)) == ClusterConditions(0, 0, 0, -1.0, 0.0)
     assert counted(("a",)).emptied_zones == 1  # the only one of its hall
     assert counted(("b", "c")).spare_voters == -1
-    assert counted(("b",), alive=frozenset({"a/1", "b/1", "d/1"})).missing_copies == 1
-    assert counted(("b",), behind={"g0": ("c/1",)}).missing_copies == 1
+    assert counted(("b",), alive_ids=frozenset({"a/1", "b/1", "d/1"})).missing_copies == 1
+    assert counted(("b",), lagging_replicas={"g0": ("c/1",)}).missing_copies == 1
     assert counted(("b",), load={"capacity": 100.0, "demand": 20.0, "promised": 5.0}) == ClusterConditions(
         0, 0, 0, 75.0, 25.0
     )
@@ -1181,15 +1183,17 @@
 
 def looked(made: RollingRestarts, wall: float, **more: Any) -> list[Any]:
     given: dict[str, Any] = {
-        "alive": frozenset({"a/1", "b/1", "c/1", "d/1"}),
-        "behind": {},
+        "alive_ids": frozenset({"a/1", "b/1", "c/1", "d/1"}),
+        "lagging_replicas": {},
         "zones": dict.fromkeys("abcd", "x"),
-        "groups": {"g0": ("b/1", "c/1", "d/1")},
+        "voters_by_group": {"g0": ("b/1", "c/1", "d/1")},
         "dead_for_ms": {},
         **more,
     }
     return made.leader_tasks(
-        LeaderView(now=wall, wall=wall, me="d/1", lead_since=0.0, timings=Timings(), load={}, **given)
+        LeaderView(
+            now=wall, wall=wall, member_id="d/1", leader_since_ms=0.0, timings=Timings(), load={}, **given
+        )
     )
 
 
@@ -1216,10 +1220,10 @@
     made = rolling()
     assert wave(made, "b").error is None
     alive = frozenset({"a/1", "c/1", "d/1"})
-    assert [one.cause for one in looked(made, 2.0, alive=alive, dead_for_ms={"b/1": 0.0})] == [
+    assert [one.cause for one in looked(made, 2.0, alive_ids=alive, dead_for_ms={"b/1": 0.0})] == [
         "b is dead while granting"
     ]  # at once; who left in order is not dead
-    assert looked(made, 2.0, alive=alive) == []
+    assert looked(made, 2.0, alive_ids=alive) == []
 
 
 def test_a_gateway_goes_by_a_fresh_reading_and_by_its_own_process() -> None:
--- a/tests/cluster/test_rolling_restart.py
+++ b/tests/cluster/test_rolling_restart.py
@@ -280,16 +280,16 @@
         (("g0/1", "g1/1", "g2/1"), None),
         (("g0/1", "g1/1", "g2/2"), "copies not whole: 1 missing"),
     ):
-        view = leader_view(0.0, 0.0, alive=frozenset(alive), zones=ONE_ZONE, groups=VOTERS)
+        view = leader_view(0.0, 0.0, alive_ids=frozenset(alive), zones=ONE_ZONE, voters_by_group=VOTERS)
         found = observe_conditions(view, restart, ["g0"]).validate()
         assert (found and found[1]) == problem
     # One that loses its disk while it is drained has no copies to leave behind; one that has ended has.
     view = leader_view(
         0.0,
         0.0,
-        alive=frozenset(("g0/2", "g1/1", "g2/1")),
+        alive_ids=frozenset(("g0/2", "g1/1", "g2/1")),
         zones={"g0": "h", "g1": "h"},
-        groups=VOTERS,
+        voters_by_group=VOTERS,
     )
     for phase, missing in ((GatewayPhase.EMPTYING, 1), (GatewayPhase.ACTING, 0)):
         restart.gateways["g0"].phase = phase
@@ -307,7 +307,9 @@
             name: GatewayProgress(GatewayPhase.EMPTYING, report=GatewayReport.EMPTY) for name in ("g0", "g1")
         },
     )
-    view = leader_view(0.0, 0.0, alive=frozenset(("g0/1", "g1/1", "g2/1")), zones=ONE_ZONE, groups=VOTERS)
+    view = leader_view(
+        0.0, 0.0, alive_ids=frozenset(("g0/1", "g1/1", "g2/1")), zones=ONE_ZONE, voters_by_group=VOTERS
+    )
     stale = msgspec.structs.replace(restarts.leader_tasks(view)[0], gateway="g1")
     (event,) = restarts.leader_tasks(view)
     assert restarts.apply(0.0, event).error is None
--- a/tests/support/cluster_runs.py
+++ b/tests/support/cluster_runs.py
@@ -17,19 +17,19 @@
 TIMINGS = Timings(clock_drift=CLOCK_DRIFT)
 
 
-def leader_view(now: float, lead_since: float, **seen: Any) -> LeaderView:
+def leader_view(now: float, leader_since_ms: float, **seen: Any) -> LeaderView:
     """What a leader sees that has led since then: an empty cluster, but for what is given."""
     fields: dict[str, Any] = {
-        "me": "g0/1",
-        "alive": frozenset(),
+        "member_id": "g0/1",
+        "alive_ids": frozenset(),
         "dead_for_ms": {},
         "zones": {},
         "load": {},
-        "groups": {},
-        "behind": {},
+        "voters_by_group": {},
+        "lagging_replicas": {},
         **seen,
     }
-    return LeaderView(now=now, wall=now, lead_since=lead_since, timings=TIMINGS, **fields)
+    return LeaderView(now=now, wall=now, leader_since_ms=leader_since_ms, timings=TIMINGS, **fields)
 
 
 def run_state_machine(machine: type[RuleBasedStateMachine], examples: int, steps: int) -> None:
--- a/tests/support/rolling_restart_simulation.py
+++ b/tests/support/rolling_restart_simulation.py
@@ -95,13 +95,13 @@
         return leader_view(
             self.now,
             0.0,
-            me=f"{NAMES[self.leader]}/1",
-            alive=alive,
+            member_id=f"{NAMES[self.leader]}/1",
+            alive_ids=alive,
             dead_for_ms=dead_for,
             zones=ZONES,
             load=self.load,
-            groups=GROUPS,
-            behind=behind,
+            voters_by_group=GROUPS,
+            lagging_replicas=behind,
         )
 
     def apply(self, command: Command) -> ApplyResult:
