--- a/badgeryoke/cluster/call_router.py
+++ b/badgeryoke/cluster/call_router.py
@@ -83,7 +83,7 @@
     the log.
     """
     may_be_applied = call.open_attempts or (call.may_be_applied and isinstance(result, ClusterError))
-    if _is_rejection(result) and may_be_applied and not call.command.reads:
+    if _is_rejection(result) and may_be_applied and not call.command.is_read_only:
         return UnknownOutcome(call.group, "no answer came to some try")
     return result
 
@@ -207,7 +207,7 @@
         if isinstance(result, _RETRIED):
             self._back_off(now, call, number, result)
             return []
-        if call.open_attempts and _is_rejection(result) and not call.command.reads:
+        if call.open_attempts and _is_rejection(result) and not call.command.is_read_only:
             call.last_error = result if isinstance(result, ClusterError) else result.error
             call.retry_at = call.deadline  # an open attempt may still be applied; wait for its answer
             return []
@@ -231,8 +231,8 @@
             is_confirmed = result is None
             return on_result(at, self._host.state_machines[group].query(command) if is_confirmed else result)
 
-        self._host.on_completion(token, answer_query if command.reads else on_result)
-        if command.reads:
+        self._host.on_completion(token, answer_query if command.is_read_only else on_result)
+        if command.is_read_only:
             return self._host.feed(now, group, ReadIndexRequest(token))
         # Until the clocks of a majority are known, this machine's clock cannot be trusted: 0 leaves the group's time
         # unchanged.
--- a/badgeryoke/cluster/connection_limits/limits.py
+++ b/badgeryoke/cluster/connection_limits/limits.py
@@ -202,7 +202,7 @@
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
         """Release the leases of holders that are lost."""
-        self.seen(view.now)
+        self.record_applied(view.now)
         expired: dict[tuple[MemberId, str], list[LeaseReference]] = {}
         for server, limit in self.servers.items():
             expiry_ms = self.expiry_after_ms(limit.idle_timeout_ms)
@@ -214,8 +214,8 @@
             for (holder, bucket), leases in list(expired.items())[:MAX_RELEASES_PER_HEARTBEAT]
         ]
 
-    def seen(self, now: float) -> None:
-        """See `StateMachinePart.seen`."""
+    def record_applied(self, now: float) -> None:
+        """See `StateMachinePart.record_applied`."""
         for limit in self.servers.values():
             limit.pool.mark_seen(now)
 
--- a/badgeryoke/cluster/key_value.py
+++ b/badgeryoke/cluster/key_value.py
@@ -36,7 +36,7 @@
 class ReadValue(Command, frozen=True, kw_only=True, tag="PromiseRead"):
     """Reads the value under `name`, null if there is none, as of a moment between call and answer (linearizable)."""
 
-    reads: ClassVar[bool] = True
+    is_read_only: ClassVar[bool] = True
     name: str
 
     def key(self) -> str:
@@ -79,8 +79,8 @@
         """See `StateMachinePart.leader_tasks`; there are none for key-value entries."""
         return []
 
-    def seen(self, now: float) -> None:
-        """See `StateMachinePart.seen`; entries do not expire."""
+    def record_applied(self, now: float) -> None:
+        """See `StateMachinePart.record_applied`; entries do not expire."""
 
     def dump(self) -> Any:
         """The values by name, as plain data for a snapshot."""
--- a/badgeryoke/cluster/leases/lease_pool.py
+++ b/badgeryoke/cluster/leases/lease_pool.py
@@ -7,7 +7,7 @@
 lease has expired.
 
 The holder counts the time from *before* its request, by its own monotonic clock.  Whoever releases a lease
-counts from when it saw the grant applied, and longer by what two clocks may differ (`Timings.outlast`).  The
+counts from when it saw the grant applied, and longer by what two clocks may differ (`Timings.lease_expiry_ms`).  The
 request precedes the grant, so the lease has expired at its holder when it is released here, whatever froze
 or was cut off.
 
--- a/badgeryoke/cluster/node.py
+++ b/badgeryoke/cluster/node.py
@@ -80,7 +80,7 @@
         rules: Invariants,
         lease_clients: Iterable[LeaseClient] = (),
     ) -> None:
-        self.setup, self.rules, self.me = setup, rules, setup.member_id
+        self.setup, self.rules, self.member_id = setup, rules, setup.member_id
         zones = {member.name: member.zone for member in setup.members}
         saved = dict(saved)
         self.load: dict[str, float] = {"capacity": setup.capacity}
@@ -90,12 +90,12 @@
             server: limit for server, limit in setup.connection_limits.items() if server != ANY_SERVER
         }
         self.membership = Membership(
-            self.me, zones.get(setup.member_name, ""), setup.members, setup.timings, draw, now
+            self.member_id, zones.get(setup.member_name, ""), setup.members, setup.timings, draw, now
         )
         self.bootstrap = Bootstrap(setup, saved.pop(BOOTSTRAP_GROUP, PersistedGroup()), draw, now)
         self.clock = MedianClock(zones)
         self._timers = NodeTimers(due_at=now, leader_tasks_at=now, poll_at=now)
-        tokens = TokenSource(self.me, draw)
+        tokens = TokenSource(self.member_id, draw)
         self.host = ReplicaHost(setup, saved, draw, rules, self._timers)
         self.router = CallRouter(setup, self.host, self.membership, self.clock, tokens, self._timers, draw)
         self.placement_follower = PlacementFollower(
@@ -265,7 +265,7 @@
                 effects += self.router.call(
                     now, cluster_time, command, _lease_client_handler(client, command)
                 )
-                if command.reads and not command.key():
+                if command.is_read_only and not command.key():
                     effects += self.placement_follower.read_if_stale(now, cluster_time)
         return effects
 
@@ -299,7 +299,7 @@
         Plain data; its keys are those of the operators' status call.
         """
         return {
-            "me": self.me,
+            "me": self.member_id,
             "founded": self.bootstrap.record is not None,
             "promises": "yes" if self._storage_error is None else str(self._storage_error),
             "members": {member.name: self.membership.state_of(member.name) for member in self.setup.members},
--- a/badgeryoke/cluster/placement/commands.py
+++ b/badgeryoke/cluster/placement/commands.py
@@ -77,7 +77,7 @@
 class ReadPlacement(Command, frozen=True, tag="Places"):
     """Reads which member replicates which group."""
 
-    reads = True
+    is_read_only = True
 
 
 PlacementCommand = EnrolMember | ReplaceReplica | ReplicaMoved | CancelMove  # those that change it
--- a/badgeryoke/cluster/placement/directory.py
+++ b/badgeryoke/cluster/placement/directory.py
@@ -154,7 +154,7 @@
             }
         )
 
-    def seen(self, now: float) -> None:
+    def record_applied(self, now: float) -> None:
         """Note when moves and slow learners were first seen here."""
         self._first_seen.update(self, now)
 
--- a/badgeryoke/cluster/reservations/admission.py
+++ b/badgeryoke/cluster/reservations/admission.py
@@ -3,7 +3,7 @@
 All proposals go through one log, so two of them at two gateways never both take the last capacity.  What may
 be reserved is the stated capacity less a fraction for losses, less a rate for requests without a contract.  A
 contract takes capacity from its window's start until the last lease under it must have expired
-(`Timings.outlast` behind its end).
+(`Timings.lease_expiry_ms` behind its end).
 
 A change, or a cancellation, is a version with a number and one moment from which it holds, at least two lease
 times ahead.  This group opens each version at the tenant's group
@@ -312,7 +312,7 @@
             )
         return tasks
 
-    def seen(self, now: float) -> None:
+    def record_applied(self, now: float) -> None:
         """See badgeryoke.cluster.state_machine_part.  Nothing here expires by this machine's clock."""
 
     # Answers and snapshots
--- a/badgeryoke/cluster/reservations/commands.py
+++ b/badgeryoke/cluster/reservations/commands.py
@@ -104,7 +104,7 @@
     """Units within the contract that were not served at one gateway, by cause.  A running total since
     `since_ms` (Unix ms), so that a repeat adds nothing."""
 
-    once: ClassVar[bool] = False
+    remembers_answer: ClassVar[bool] = False
 
     reporter: str = msgspec.field(name="by")
     cause: str
@@ -123,20 +123,20 @@
 class AdvanceContracts(Command, frozen=True, kw_only=True, tag="Pass"):
     """Time has passed: contracts change their states."""
 
-    once: ClassVar[bool] = False
+    remembers_answer: ClassVar[bool] = False
 
 
 class ReadContracts(Command, frozen=True, kw_only=True, tag="ContractsRead"):
     """Read all contracts, for operators: state, terms and shortfalls, and the stated capacity."""
 
-    reads: ClassVar[bool] = True
+    is_read_only: ClassVar[bool] = True
 
 
 class PollContracts(Command, frozen=True, kw_only=True, tag="ContractsKnown"):
     """Read what a gateway needs to know of contracts; the answer is the revision alone where the gateway
     has that already."""
 
-    reads: ClassVar[bool] = True
+    is_read_only: ClassVar[bool] = True
 
     known_revision: int = msgspec.field(default=-1, name="have")
 
@@ -181,7 +181,9 @@
     """Renew, shrink, grow or give back a share of a contract's rate and burst; answered by a `LeaseAnswer`.
     For the figures see `badgeryoke.cluster.leases.lease_pool.LeasePool.request`."""
 
-    once: ClassVar[bool] = False  # the lease number states the order; the last answer is kept for a repeat
+    remembers_answer: ClassVar[bool] = (
+        False  # the lease number states the order; the last answer is kept for a repeat
+    )
 
     holder: MemberId
     lease_number: int = msgspec.field(name="number")  # 0: it holds no lease
@@ -221,7 +223,7 @@
 class SwitchVersion(TenantCommand, frozen=True, kw_only=True, tag="TurnFloor"):
     """The moment of a pending version has come, or usage is due to be settled, though no gateway calls."""
 
-    once: ClassVar[bool] = False
+    remembers_answer: ClassVar[bool] = False
 
 
 class UsageSlice(NamedTuple):
@@ -236,7 +238,7 @@
     """What was requested within a contract at one gateway, and what of that was drawn.  A slice that is
     reported again replaces the earlier report."""
 
-    once: ClassVar[bool] = False
+    remembers_answer: ClassVar[bool] = False
 
     reporter: str = msgspec.field(name="by")
     slices: tuple[UsageSlice, ...]
@@ -255,7 +257,7 @@
 class ReleaseLease(TenantCommand, frozen=True, kw_only=True, tag="EndLease"):
     """A lease has expired by the leader's clock, and so by its holder's."""
 
-    once: ClassVar[bool] = False  # a lease number is given once
+    remembers_answer: ClassVar[bool] = False  # a lease number is given once
 
     holder: MemberId
     lease_number: int = msgspec.field(name="number")
--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -104,7 +104,7 @@
     def _is_over(self, at_ms: float, contract: GuaranteedRate) -> bool:
         """Whether the last window is over and the last lease has expired."""
         last_end_ms = contract.intervals[-1].end_ms if contract.intervals else 0.0
-        retained_ms = RETENTION_LEASE_TIMES * self._timings.outlast()
+        retained_ms = RETENTION_LEASE_TIMES * self._timings.lease_expiry_ms()
         return contract.pending is None and not contract.pool.leases and at_ms > last_end_ms + retained_ms
 
     def _apply_pending(self, at_ms: float, contract: GuaranteedRate) -> None:
@@ -202,7 +202,7 @@
     def leader_tasks(self, view: LeaderView) -> list[Command]:
         """See badgeryoke.cluster.state_machine_part.  Releases leases that have expired by this machine's
         clock, notifies of drained versions, and lets versions and settlement go on with time."""
-        self.seen(view.now)
+        self.record_applied(view.now)
         return [
             *self._release_expired(view),
             *self._notify_drained(view.now),
@@ -222,7 +222,7 @@
             )
             for name, contract in self.contracts.items()
             for holder, number in contract.pool.expired(
-                view.now, self._timings.outlast(), view.leader_since_ms
+                view.now, self._timings.lease_expiry_ms(), view.leader_since_ms
             )
         ]
 
@@ -276,7 +276,7 @@
             )
         return tasks
 
-    def seen(self, now: float) -> None:
+    def record_applied(self, now: float) -> None:
         """See badgeryoke.cluster.state_machine_part."""
         for name in self._unseen:
             if name in self.contracts:
--- a/badgeryoke/cluster/reservations/reserved_capacity.py
+++ b/badgeryoke/cluster/reservations/reserved_capacity.py
@@ -43,7 +43,7 @@
     @property
     def lease_tail_ms(self) -> float:
         """How long behind a window's end a lease may still be in use."""
-        return self._timings.outlast()
+        return self._timings.lease_expiry_ms()
 
     def available(self, zone: str = WHOLE_CLUSTER) -> float:
         """What may be reserved: in all, or in a zone."""
--- a/badgeryoke/cluster/rolling_restart/commands.py
+++ b/badgeryoke/cluster/rolling_restart/commands.py
@@ -145,14 +145,14 @@
 class ReadDesiredState(Command, frozen=True, tag="RollRead"):
     """Read the assignment of one gateway (`assignment.GatewayAssignment`)."""
 
-    reads: ClassVar[bool] = True
+    is_read_only: ClassVar[bool] = True
     gateway: str
 
 
 class ReadRollingRestarts(Command, frozen=True, tag="RollsRead"):
     """Read every restart that is kept, for operators: its state, why, and each gateway's phase."""
 
-    reads: ClassVar[bool] = True
+    is_read_only: ClassVar[bool] = True
 
 
 ROLLING_RESTART_COMMANDS: tuple[type[Command], ...] = (
--- a/badgeryoke/cluster/rolling_restart/waves.py
+++ b/badgeryoke/cluster/rolling_restart/waves.py
@@ -299,8 +299,8 @@
 
     # Snapshots.
 
-    def seen(self, now: float) -> None:
-        """See `StateMachinePart.seen`; nothing here ends by the monotonic clock."""
+    def record_applied(self, now: float) -> None:
+        """See `StateMachinePart.record_applied`; nothing here ends by the monotonic clock."""
 
     def dump(self) -> Any:
         """See `StateMachinePart.dump`."""
--- a/badgeryoke/cluster/state_machine/machine.py
+++ b/badgeryoke/cluster/state_machine/machine.py
@@ -41,7 +41,7 @@
             return ApplyResult(error=InvalidCall(self.group, f"an entry that cannot be read: {fault}"))
         self.at_ms = max(self.at_ms, at_ms)
         checksum = command_checksum(command)
-        if command.once and (remembered := self.answers.get(command.id)) is not None:
+        if command.remembers_answer and (remembered := self.answers.get(command.id)) is not None:
             if remembered.checksum != checksum:
                 return ApplyResult(error=DuplicateId(command.id, "another call has it"))
             return remembered.result()
@@ -52,8 +52,9 @@
         if part is None:
             return self._not_for_group(command)
         result: ApplyResult = part.apply(self.at_ms, command)
-        part.seen(now)
-        if command.once and result.error is None:  # a rejected command changed nothing and may be retried
+        part.record_applied(now)
+        # A rejected command changed nothing and may be retried, so its answer is not remembered.
+        if command.remembers_answer and result.error is None:
             self._rules.check(Rule.ID_ONCE, command.id not in self.answers, lambda: command.id)
             self.answers.add(command.id, checksum, result)
         return result
@@ -69,7 +70,7 @@
     def query(self, command: Command) -> ApplyResult:
         """Answer a command that only reads."""
         part = self._part_for(command)
-        if part is None or not command.reads:
+        if part is None or not command.is_read_only:
             return self._not_for_group(command)
         result: ApplyResult = part.query(command)
         return result
@@ -90,4 +91,4 @@
         for name, part in self.parts.items():
             if name in parts:
                 part.load(parts[name])
-                part.seen(now)
+                part.record_applied(now)
--- a/badgeryoke/cluster/state_machine_part.py
+++ b/badgeryoke/cluster/state_machine_part.py
@@ -36,9 +36,9 @@
     """The content of a log entry.  A repeated `id` gets the answer of the first time and changes nothing."""
 
     # Whether it changes nothing; it is then answered by `query` once the leader has confirmed that it still leads.
-    reads: ClassVar[bool] = False
+    is_read_only: ClassVar[bool] = False
     # Whether its id and answer are remembered; False for commands with their own sequence number (leases).
-    once: ClassVar[bool] = True
+    remembers_answer: ClassVar[bool] = True
 
     id: str
 
@@ -98,7 +98,7 @@
         Called at every heartbeat; each command has an id that makes repeating it harmless.
         """
 
-    def seen(self, now: float) -> None:
+    def record_applied(self, now: float) -> None:
         """Record that all entries applied so far were applied by `now` (this machine's clock); expiry counts from it."""
 
     def dump(self) -> Any:
--- a/badgeryoke/cluster/timings.py
+++ b/badgeryoke/cluster/timings.py
@@ -33,7 +33,7 @@
     piece_bytes: int = 64 * 1024  # size of a snapshot chunk
     repair_at_once: int = 3  # concurrent replica moves in the whole cluster
 
-    def outlast(self) -> float:
+    def lease_expiry_ms(self) -> float:
         """How long (ms) to wait on one clock until a lease has expired on any other clock within the drift."""
         return self.lease_ms * (1.0 + self.clock_drift) / (1.0 - self.clock_drift)
 
--- a/badgeryoke/cluster/unreported_usage.py
+++ b/badgeryoke/cluster/unreported_usage.py
@@ -94,7 +94,7 @@
 class ReadUnreportedUsage(Command, frozen=True, kw_only=True, tag="OwedRead"):
     """Names of the batches that nobody has claimed, oldest first."""
 
-    reads: ClassVar[bool] = True
+    is_read_only: ClassVar[bool] = True
     tenant: str
 
     def key(self) -> str:
@@ -220,8 +220,8 @@
             if batch.reporter and view.dead_for_ms.get(batch.reporter, 0.0) >= view.timings.repair_after_ms
         ]
 
-    def seen(self, now: float) -> None:
-        """See `StateMachinePart.seen`; nothing here ends by this machine's clock."""
+    def record_applied(self, now: float) -> None:
+        """See `StateMachinePart.record_applied`; nothing here ends by this machine's clock."""
 
     def dump(self) -> Any:
         """See `StateMachinePart.dump`; the order of the lists is the stored format."""
--- a/badgeryoke/gateway/cluster/admin_calls.py
+++ b/badgeryoke/gateway/cluster/admin_calls.py
@@ -128,7 +128,7 @@
         if key not in known_keys:
             quoted = key[:_MAX_QUOTED_CHARS]
             return InvalidCall(quoted, f"unknown; {_hint(quoted, known_keys)}")
-    if kind.reads:
+    if kind.is_read_only:
         fields.setdefault("id", secrets.token_hex(_GENERATED_ID_BYTES))
     elif "id" not in fields:
         return InvalidCall("id", "missing: with an id of its own the call can be made again without harm")
--- a/badgeryoke/gateway/cluster/connection_leases.py
+++ b/badgeryoke/gateway/cluster/connection_leases.py
@@ -77,7 +77,7 @@
         if not isinstance(node, ClusterNode):
             return
         boot_id = BOOT_ID_FILE.read_text().strip() if BOOT_ID_FILE.exists() else ""
-        process_id = holder_id(node.me, boot_id, secrets.token_hex(_PROCESS_TOKEN_BYTES))
+        process_id = holder_id(node.member_id, boot_id, secrets.token_hex(_PROCESS_TOKEN_BYTES))
         holder = ConnectionLeaseHolder(
             process_id, node.setup.timings, invariants, self.monotonic_ms(), self.only_process
         )
--- a/tests/cluster/reservations/test_lease_safety.py
+++ b/tests/cluster/reservations/test_lease_safety.py
@@ -106,7 +106,7 @@
         """One tenth of a second."""
         self.propose_or_change(at_ms)
         self.deliver(at_ms)
-        self.rates.seen(at_ms)
+        self.rates.record_applied(at_ms)
         for contract in list(self.rates.contracts):
             for holder in ("g", "h"):
                 held = self.held.setdefault((contract, holder), HeldShare())
@@ -194,7 +194,7 @@
 
 def no_margin_for_clock_drift(patch: pytest.MonkeyPatch) -> None:
     """A lease is released after its own time, as if clocks ran alike."""
-    patch.setattr(Timings, "outlast", lambda self: self.lease_ms)
+    patch.setattr(Timings, "lease_expiry_ms", lambda self: self.lease_ms)
 
 
 def lease_counted_from_the_answer(patch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -1016,7 +1016,7 @@
         Timings(probe_timeout_ms=400.0),
         Timings(lease_ms=1000.0),
     ):
-        digest.add((find_problems(timings), timings.outlast()))
+        digest.add((find_problems(timings), timings.lease_expiry_ms()))
     digest.add(expand_windows((Window(5.0, 6.0), Window(1.0, 2.0, 2.0, 4.0))))
     check("operators", digest)
 
@@ -1122,7 +1122,7 @@
     def apply(self, command: Command) -> Any:
         applier = self.states[FLEET if not command.key() else "g0"]
         applier.now = self.now
-        if command.reads:
+        if command.is_read_only:
             result = applier.state.query(command)
             self.digest.add((command_values(command), applied_values(result)))
             return result
--- a/tests/cluster/test_golden_cluster.py
+++ b/tests/cluster/test_golden_cluster.py
@@ -403,7 +403,7 @@
         self._at_ms += 1000.0
         command = event.command
         group = group_for_key(command.key(), FOUNDING.group_count)
-        if command.reads:
+        if command.is_read_only:
             return [OperationCompleted(event.token, self.states[group].query(command))]
         return [OperationCompleted(event.token, self.apply(group, encode_command(self._at_ms, command)))]
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -375,7 +375,7 @@
         self.now += 100.0
         for command in self.placing.leader_tasks(self.view()):
             assert self.placing.apply(1e12 + self.now, command).error is None
-        self.placing.seen(self.now)
+        self.placing.record_applied(self.now)
         self.most = max(self.most, len(self.placing.moves))
         alive = frozenset(self.alive.values())
         for group, config in self.config.items():
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -1541,7 +1541,7 @@
     made = opened_floors((1, 60.0, 0.0))
     granted = lease(made, SPAN[0] - 1.0, 1, 0, 60.0)
     assert granted["part"] == 60.0 and granted["from_ms"] == SPAN[0]
-    made.seen(1000.0)
+    made.record_applied(1000.0)
     times = Timings()
     margin = times.lease_ms * (1.0 + times.clock_drift) / (1.0 - times.clock_drift)
     assert "EndLease" not in words(made, 1000.0 + margin - 1.0, SPAN[0])
@@ -1639,7 +1639,9 @@
                 self.floor.answered(now, one, self.floors.apply(now, one))
             else:
                 self.floor.answered(
-                    now, one, self.contracts.query(one) if one.reads else self.contracts.apply(now, one)
+                    now,
+                    one,
+                    self.contracts.query(one) if one.is_read_only else self.contracts.apply(now, one),
                 )
         return asked
 
--- a/tests/gateway/cluster/test_service.py
+++ b/tests/gateway/cluster/test_service.py
@@ -256,7 +256,7 @@
         assert parse_call(json.dumps({"do": word, "id": "1", "name": "n", "value": "v"}).encode()) == put
     for word in ("get", "PromiseRead", "promise-read", "promise_read"):
         read = parse_call(json.dumps({"do": word, "name": "n"}).encode())
-        assert not isinstance(read, StatusRequest | errors.ClusterError) and read.reads and read.id
+        assert not isinstance(read, StatusRequest | errors.ClusterError) and read.is_read_only and read.id
     assert parse_call(b'{"do": "Status"}') == StatusRequest()
     assert format_answer(ApplyResult({"a": 1})) == b'+OK {"a":1}\n'
 
--- a/tests/support/cluster_digest.py
+++ b/tests/support/cluster_digest.py
@@ -60,7 +60,7 @@
 
 def command_values(command: Command) -> tuple[str, object]:
     """A command: its values, with the mark of whether it only reads and whether it is taken once."""
-    return f"{command.reads}/{command.once}", command
+    return f"{command.is_read_only}/{command.remembers_answer}", command
 
 
 def applied_values(result: ApplyResult | ClusterError | None) -> object:
@@ -190,7 +190,7 @@
 
     def handle(self, now: float, wall: float, event: NodeEvent) -> Sequence[Any]:  # type: ignore[override]
         """As the node's own."""
-        self.digest.add((now, wall, str(self.me), event_values(event)))
+        self.digest.add((now, wall, str(self.member_id), event_values(event)))
         effects = super().handle(now, wall, event)
         add_effects(self.digest, self.due, effects)
         return effects
--- a/tests/support/contracts.py
+++ b/tests/support/contracts.py
@@ -15,7 +15,7 @@
 from badgeryoke.cluster.timings import Timings
 
 TIMINGS = Timings()
-LEASE_TAIL_MS = TIMINGS.outlast()
+LEASE_TAIL_MS = TIMINGS.lease_expiry_ms()
 QUICK = settings(max_examples=20, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 
 
--- a/tests/support/lease_simulation.py
+++ b/tests/support/lease_simulation.py
@@ -147,16 +147,16 @@
     def apply(self, command: Command) -> ApplyResult:
         """Apply a command at the group it is for; the follower sees it later than the leader."""
         if command.key() == "":
-            if command.reads:
+            if command.is_read_only:
                 return self.registry.query(command)
             return self.registry.apply(self.time_ms, command)
         results = [replica.apply(self.time_ms, command) for replica in self.replicas]
         assert results[0] == results[1]
-        self.replicas[self.leader].seen(self.time_ms * self.leader_clock_rate)
+        self.replicas[self.leader].record_applied(self.time_ms * self.leader_clock_rate)
         follower = self.replicas[1 - self.leader]
         self.at(
             self.time_ms + self.random.uniform(0.0, 150.0),
-            lambda: follower.seen(self.time_ms * self.leader_clock_rate),
+            lambda: follower.record_applied(self.time_ms * self.leader_clock_rate),
         )
         return results[0]
 
@@ -178,7 +178,7 @@
             self.frozen_until_ms[gateway] = self.time_ms + self.random.choice([300.0, 1900.0, 4000.0])
         elif kind == "lead":
             self.leader = 1 - self.leader
-            self.replicas[self.leader].seen(self.time_ms * self.leader_clock_rate)
+            self.replicas[self.leader].record_applied(self.time_ms * self.leader_clock_rate)
 
     # Requests, and what is checked
     # ------------------------------------------------------------------------------------
--- a/tests/testbed/test_planted_faults.py
+++ b/tests/testbed/test_planted_faults.py
@@ -222,12 +222,12 @@
 
 def no_clock_margin(patch: pytest.MonkeyPatch) -> None:
     """A lease is given to another after its own time, by whatever clock."""
-    patch.setattr(Timings, "outlast", lambda self: self.lease_ms)
+    patch.setattr(Timings, "lease_expiry_ms", lambda self: self.lease_ms)
 
 
 def silence_frees(patch: pytest.MonkeyPatch) -> None:
     """What a holder has is free when nothing was heard of it for half a lease."""
-    patch.setattr(Timings, "outlast", lambda self: self.lease_ms / 2.0)
+    patch.setattr(Timings, "lease_expiry_ms", lambda self: self.lease_ms / 2.0)
     patch.setattr(ConnectionLimits, "expiry_after_ms", lambda self, idle_ms: self.lease_duration_ms() / 2.0)
 
 
@@ -236,7 +236,7 @@
     patch.setattr(ConnectionLimits, "lease_duration_ms", lambda self: self._timings.lease_ms)
     patch.setattr(ConnectionLeaseHolder, "lease_ms", 2000.0, raising=False)
     patch.setattr("badgeryoke.cluster.connection_limits.lease_timing.LEASE_MULTIPLE", 1.0)
-    patch.setattr(ConnectionLimits, "expiry_after_ms", lambda self, idle_ms: self._timings.outlast())
+    patch.setattr(ConnectionLimits, "expiry_after_ms", lambda self, idle_ms: self._timings.lease_expiry_ms())
 
 
 def returned_too_soon(patch: pytest.MonkeyPatch) -> None:
