--- a/tests/cluster/test_golden_cluster.py
+++ b/tests/cluster/test_golden_cluster.py
@@ -1,5 +1,4 @@
-"""What the cluster sends, stores and answers, byte for byte as golden files state it
-(tests/golden/README.md)."""
+"""Compares what the cluster sends, stores and answers byte for byte with golden files (tests/golden/README.md)."""
 
 from __future__ import annotations
 
@@ -19,8 +18,8 @@
 
 from badgeryoke.cluster import key_value, messages, unreported_usage
 from badgeryoke.cluster.bootstrap_record import BootstrapRecord
-from badgeryoke.cluster.call_router import reply_decoder as forwarded_answers
-from badgeryoke.cluster.connection_limits.commands import ConnectionLeaseRequest as ConnectionsAsk
+from badgeryoke.cluster.call_router import reply_decoder
+from badgeryoke.cluster.connection_limits.commands import ConnectionLeaseRequest
 from badgeryoke.cluster.errors import AnyError, ClusterError
 from badgeryoke.cluster.events import (
     ClusterCall,
@@ -91,45 +90,45 @@
 
 GOLDEN = ROOT / "tests" / "golden"
 STORE = GOLDEN / "store" / "files"
-NODE_TIME_MS = 5000.0  # monotonic, of whatever asks a leader for its work
+NODE_TIME_MS = 5000.0  # the monotonic clock passed to the state machines and nodes
 TABLES = ("store", "part", "shot", "entry")
 
 
 def golden(name: str) -> Any:
-    """A golden file; a missing one is a failure."""
+    """The content of a golden file; raises if it is missing."""
     return json.loads((GOLDEN / name).read_text())
 
 
-# What is sent and what a log holds
+# Messages and log entries
 # ------------------------------------------------------------------------------------
 
 
 def encoded_cases() -> dict[str, str]:
-    """All samples' bytes."""
+    """The encoded samples in hex, by name."""
     return {case.name: case.encode(case.value).hex() for case in CASES}
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
-def test_a_sample_is_encoded_as_ever(case: Case) -> None:
+def test_samples_encode_to_the_golden_bytes(case: Case) -> None:
     assert case.encode(case.value).hex() == golden("cluster/bytes.json")[case.name]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
-def test_what_was_encoded_is_read_as_ever(case: Case) -> None:
+def test_golden_bytes_decode_to_the_samples(case: Case) -> None:
     read = case.decode(bytes.fromhex(golden("cluster/bytes.json")[case.name]))
     assert read == case.value and type(read) is type(case.value)
 
 
-def test_samples_and_golden_bytes_are_of_the_same_names() -> None:
+def test_samples_and_golden_bytes_have_the_same_names() -> None:
     assert len({case.name for case in CASES}) == len(CASES)
     assert {case.name for case in CASES} == set(golden("cluster/bytes.json"))
 
 
-def leaves(kind: type) -> set[type]:
-    """The types below one of which there are instances; those that tests declare don't count."""
-    subclasses: list[type] = kind.__subclasses__()
-    below = [one for one in subclasses if not one.__module__.startswith("tests.")]
-    return set().union(*map(leaves, below)) if below else {kind}
+def concrete_types(base: type) -> set[type]:
+    """The leaf subclasses of a type, without those declared in tests."""
+    subclasses: list[type] = base.__subclasses__()
+    subtypes = [subtype for subtype in subclasses if not subtype.__module__.startswith("tests.")]
+    return set().union(*map(concrete_types, subtypes)) if subtypes else {base}
 
 
 @pytest.mark.parametrize(
@@ -143,23 +142,23 @@
 )
 def test_every_type_has_a_sample(base: type, union: set[type], samples: list[Any]) -> None:
     assert len(union) > 10
-    assert sorted(map(str, map(type, samples))) == sorted(map(str, union)), "one sample a type"
-    assert leaves(base) == union
+    assert sorted(map(str, map(type, samples))) == sorted(map(str, union)), "one sample per type"
+    assert concrete_types(base) == union
 
 
 def structs_within(value: object) -> list[msgspec.Struct]:
-    """All Structs that a value holds, itself included."""
+    """All Structs within a value, including the value itself."""
     if isinstance(value, msgspec.Struct):
         return [
             value,
             *(found for name in value.__struct_fields__ for found in structs_within(getattr(value, name))),
         ]
     if isinstance(value, tuple):
-        return [found for one in value for found in structs_within(one)]
+        return [found for item in value for found in structs_within(item)]
     return []
 
 
-def test_the_parts_of_messages_and_commands_have_samples_with_no_field_at_its_default() -> None:
+def test_each_field_of_messages_commands_and_nested_structs_has_a_sample_with_a_non_default_value() -> None:
     samples = [sample for case in CASES for sample in structs_within(case.value)]
     parts = {
         messages.GroupConfiguration,
@@ -173,7 +172,7 @@
         unreported_usage.UsageLine,
         placement_state.ReplicaMove,
         placement_state.GroupPlacement,
-        ConnectionsAsk,
+        ConnectionLeaseRequest,
         ApplyResult,
     }
     assert parts <= set(map(type, samples))
@@ -186,7 +185,7 @@
 
 
 def stored_words() -> dict[str, list[Any]]:
-    """The words by which snapshots, entries and answers name members of enumerations, reports and parts."""
+    """The names of enum members, reports and parts that occur in snapshots, entries and answers."""
     names: dict[str, type[Enum]] = {
         "roll states": RestartState,
         "roll turns": RestartEvent,
@@ -200,8 +199,8 @@
         "gateway stands told": GatewayPhase,
     }
     return (
-        {name: [one.name for one in kind] for name, kind in names.items()}
-        | {name: [one.value for one in kind] for name, kind in values.items()}
+        {name: [member.name for member in enum] for name, enum in names.items()}
+        | {name: [member.value for member in enum] for name, enum in values.items()}
         | {
             "reports": [report.value for report in GatewayReport],
             "fleet parts": list(REGISTRY.cluster_parts),
@@ -210,7 +209,7 @@
     )
 
 
-def test_words_that_are_stored_are_as_ever() -> None:
+def test_stored_names_match_the_golden_file() -> None:
     assert stored_words() == golden("cluster/words.json")
 
 
@@ -218,8 +217,8 @@
 # ----------------------------------------------------------------------------------------------------
 
 
-def leaders_view() -> LeaderView:
-    """What the leader of either group looks at, long behind the last entry."""
+def leader_view() -> LeaderView:
+    """The leader's view for either group, long after the last entry."""
     return LeaderView(
         now=NODE_TIME_MS + 1e6,
         wall=START_MS + 900_000.0,
@@ -236,7 +235,7 @@
 
 
 def history_of(group: str) -> dict[str, Any]:
-    """What a group's history comes to: answers, snapshots, values, and what its leader proposes then."""
+    """The results of a group's history: answers, snapshots, values, and what its leader then proposes."""
     state, entries = new_state(group), history_entries(group)
     answers = apply_entries(state, entries[:SNAPSHOT_AT])
     early = state.dump()
@@ -249,32 +248,32 @@
         "early": early.hex(),
         "late": late.hex(),
         "values": values,
-        "work": [encode_command(START_MS, command).hex() for command in state.leader_tasks(leaders_view())],
+        "work": [encode_command(START_MS, command).hex() for command in state.leader_tasks(leader_view())],
     }
 
 
 @pytest.mark.parametrize("group", HISTORIES)
-def test_a_history_comes_to_the_same_answers_snapshots_and_work(group: str) -> None:
-    made, stated = history_of(group), golden("cluster/histories.json")[group]
-    for name in stated:
-        assert made[name] == stated[name], name
-    assert made.keys() == stated.keys()
+def test_a_history_gives_the_golden_answers_snapshots_and_tasks(group: str) -> None:
+    actual, expected = history_of(group), golden("cluster/histories.json")[group]
+    for name in expected:
+        assert actual[name] == expected[name], name
+    assert actual.keys() == expected.keys()
 
 
 @pytest.mark.parametrize("group", HISTORIES)
-def test_a_golden_snapshot_and_the_golden_entries_behind_it_come_to_the_same_state(group: str) -> None:
-    stated = golden("cluster/histories.json")[group]
+def test_a_golden_snapshot_and_the_entries_after_it_give_the_golden_state(group: str) -> None:
+    expected = golden("cluster/histories.json")[group]
     state = new_state(group)
-    state.restore(NODE_TIME_MS, bytes.fromhex(stated["early"]))
-    assert state.dump().hex() == stated["early"]
+    state.restore(NODE_TIME_MS, bytes.fromhex(expected["early"]))
+    assert state.dump().hex() == expected["early"]
     answers = [
         state.apply(NODE_TIME_MS, index, bytes.fromhex(body))
-        for index, body in enumerate(stated["entries"], 1)
+        for index, body in enumerate(expected["entries"], 1)
         if index > SNAPSHOT_AT
     ]
-    assert [canonical(answer) for answer in answers] == stated["answers"][SNAPSHOT_AT - 1 :]
-    assert state.dump().hex() == stated["late"]
-    assert {name: canonical(part.dump()) for name, part in state.parts.items()} == stated["values"]
+    assert [canonical(answer) for answer in answers] == expected["answers"][SNAPSHOT_AT - 1 :]
+    assert state.dump().hex() == expected["late"]
+    assert {name: canonical(part.dump()) for name, part in state.parts.items()} == expected["values"]
 
 
 def test_the_histories_fill_every_part() -> None:
@@ -293,16 +292,16 @@
     return Path(shutil.copytree(STORE, tmp_path / "store"))
 
 
-def opened(folder: Path) -> ClusterStorage:
-    """The store in a folder, which must not be made anew."""
-    made = open_storage(folder, CLUSTER, MEMBER, new_incarnation=lambda: "made anew")
-    assert isinstance(made, ClusterStorage), made
-    assert not made.faults and made.incarnation == INCARNATION
-    return made
+def open_existing_store(folder: Path) -> ClusterStorage:
+    """Open the store in a folder; fails if it is damaged or would be created anew."""
+    storage = open_storage(folder, CLUSTER, MEMBER, new_incarnation=lambda: "made anew")
+    assert isinstance(storage, ClusterStorage), storage
+    assert not storage.faults and storage.incarnation == INCARNATION
+    return storage
 
 
-def rebuilt(group: str, saved: PersistedGroup) -> GroupStateMachine:
-    """A group's state out of its snapshot and entries."""
+def restored_state(group: str, saved: PersistedGroup) -> GroupStateMachine:
+    """The state of a group, restored from its snapshot and entries."""
     state = new_state(group)
     if saved.snapshot is not None:
         state.restore(NODE_TIME_MS, saved.snapshot.body)
@@ -311,20 +310,21 @@
 
 
 def store_values(folder: Path) -> dict[str, Any]:
-    """What a store gives back, and what that comes to."""
-    disk = opened(folder)
-    disk.close()
+    """The stored groups, the states restored from them, and the rows of the tables."""
+    storage = open_existing_store(folder)
+    storage.close()
     return {
-        "saved": {name: canonical(saved) for name, saved in sorted(disk.persisted_groups.items())},
+        "saved": {name: canonical(saved) for name, saved in sorted(storage.persisted_groups.items())},
         "states": {
-            name: rebuilt(name, disk.persisted_groups[name]).dump().hex() for name in ("g0", *HISTORIES)
+            name: restored_state(name, storage.persisted_groups[name]).dump().hex()
+            for name in ("g0", *HISTORIES)
         },
         "rows": {table: [canonical(row) for row in rows_of(folder, table)] for table in TABLES},
     }
 
 
 def rows_of(folder: Path, table: str) -> list[tuple[Any, ...]]:
-    """A table of the store, checksums included."""
+    """The rows of a table of the store, including checksums."""
     database = sqlite3.connect(folder / DATABASE_FILE)
     try:
         return database.execute(f"SELECT * FROM {table} ORDER BY 1, 2").fetchall()
@@ -333,7 +333,7 @@
 
 
 def schema_of(folder: Path) -> list[tuple[str, str]]:
-    """Tables and their columns, as SQLite has them."""
+    """The SQL definitions of the tables, by name."""
     database = sqlite3.connect(folder / DATABASE_FILE)
     try:
         return database.execute(
@@ -343,44 +343,48 @@
         database.close()
 
 
-def test_the_golden_store_reads_as_stated_and_needs_no_repair(folder: Path) -> None:
+def test_the_golden_store_reads_as_recorded_without_repair(folder: Path) -> None:
     assert store_values(folder) == golden("store/values.json")
     assert not list(folder.glob("damaged-*"))
 
 
-def test_the_golden_store_lies_partly_in_the_write_ahead_log() -> None:
+def test_part_of_the_golden_store_is_in_the_write_ahead_log() -> None:
     assert (STORE / WAL_FILE).stat().st_size > 4096
 
 
 def test_the_golden_store_holds_the_history(folder: Path) -> None:
-    """Snapshot and entries come to what the history comes to without a store."""
-    disk = opened(folder)
-    disk.close()
+    """Restoring from the stored snapshot and entries gives the same state as the history without a store."""
+    storage = open_existing_store(folder)
+    storage.close()
     for group in HISTORIES:
-        state = rebuilt(group, disk.persisted_groups[group])
+        state = restored_state(group, storage.persisted_groups[group])
         assert state.dump().hex() == golden("cluster/histories.json")[group]["late"]
         assert (
-            disk.persisted_groups[group].snapshot is not None
-            and disk.persisted_groups[group].entries[0].index == SNAPSHOT_AT + 1
+            storage.persisted_groups[group].snapshot is not None
+            and storage.persisted_groups[group].entries[0].index == SNAPSHOT_AT + 1
         )
 
 
-def test_the_same_records_are_written_to_the_same_rows_as_ever(folder: Path, tmp_path: Path) -> None:
-    fresh = write_store(tmp_path / "fresh")
-    fresh.close()
-    assert sorted(path.name for path in fresh.directory.iterdir()) == sorted({"lock", "told", DATABASE_FILE})
-    assert store_values(fresh.directory) == golden("store/values.json")
-    assert schema_of(fresh.directory) == schema_of(folder)
-    assert (fresh.directory / "told").read_bytes() == (folder / "told").read_bytes()
+def test_the_same_records_are_written_to_the_golden_rows(folder: Path, tmp_path: Path) -> None:
+    written = write_store(tmp_path / "fresh")
+    written.close()
+    assert sorted(path.name for path in written.directory.iterdir()) == sorted(
+        {"lock", "told", DATABASE_FILE}
+    )
+    assert store_values(written.directory) == golden("store/values.json")
+    assert schema_of(written.directory) == schema_of(folder)
+    assert (written.directory / "told").read_bytes() == (folder / "told").read_bytes()
 
 
-# The operators' calls
+# Operators' calls
 # -------------------------------------------------------------------------------------------------
 
 
-class AnsweringNode:
-    """In the node's place: the groups of a store without an election, each call a second behind the one
-    before. A node that is never driven tells the status."""
+class StoreBackedNode:
+    """Replaces the node: applies calls directly to the groups of a store, without elections, one second apart.
+
+    The status comes from a real node that handles no events.
+    """
 
     def __init__(
         self,
@@ -391,7 +395,7 @@
         wall: float,
         rules: Invariants,
     ) -> None:
-        self.states = {name: rebuilt(name, saved[name]) for name in (FLEET, "g0", OTHER)}
+        self.states = {name: restored_state(name, saved[name]) for name in (FLEET, "g0", OTHER)}
         self._node = ClusterNode(setup, saved, Random(1), NODE_TIME_MS, START_MS, rules)
         self._at_ms = START_MS + 100_000.0
         self.due = math.inf
@@ -408,20 +412,20 @@
         return [OperationCompleted(event.token, self.apply(group, encode_command(self._at_ms, command)))]
 
     def apply(self, group: str, body: bytes) -> ApplyResult:
-        """One more entry of a group."""
+        """Apply one more entry to a group."""
         state = self.states[group]
         return state.apply(NODE_TIME_MS, state.index + 1, body)
 
     def status(self) -> dict[str, Any]:
-        """Of the node that was opened with the store."""
+        """The status of a node with the stored groups."""
         return self._node.status()
 
 
-def service_section(folder: Path) -> ClusterSettings:
-    """The operators' file; nobody listens at the others' addresses."""
+def cluster_settings(folder: Path) -> ClusterSettings:
+    """The cluster section of the operators' file; the other members' addresses are unreachable."""
     members = [
-        {"name": name, "hall": hall, "address": f"{HOST}:{port}"}
-        for name, hall, port in (("a", "east", free_port()), ("b", "west", 1), ("c", "east", 2))
+        {"name": name, "hall": zone, "address": f"{HOST}:{port}"}
+        for name, zone, port in (("a", "east", free_port()), ("b", "west", 1), ("c", "east", 2))
     ]
     return msgspec.convert(
         {"enabled": True, "name": CLUSTER, "folder": str(folder), "members": members}, ClusterSettings
@@ -429,88 +433,93 @@
 
 
 def answers_to(calls: list[dict[str, str]], folder: Path) -> list[str]:
-    """The lines that a service on that store answers, call by call.  An "entry" is one of the fleet's own
-    group (hex) that no operator may call for; its answer is in canonical form."""
+    """The lines with which a service on that store answers the calls, in order.
 
-    async def ask() -> list[str]:
-        service = ClusterService(service_section(folder), MEMBER, node_factory=AnsweringNode)
+    An "entry" is a log entry (hex) of the cluster's own group that operators cannot request; its answer is in canonical
+    form.
+    """
+
+    async def run_calls() -> list[str]:
+        service = ClusterService(cluster_settings(folder), MEMBER, node_factory=StoreBackedNode)
         service.start()
         await until(lambda: service.node is not None or service.failure is not None)
         try:
             node = service.node
-            assert isinstance(node, AnsweringNode), service.failure
+            assert isinstance(node, StoreBackedNode), service.failure
             return [
-                (await service.answer(one["call"].encode())).decode()
-                if "call" in one
-                else canonical(node.apply(FLEET, bytes.fromhex(one["entry"])))
-                for one in calls
+                (await service.answer(call["call"].encode())).decode()
+                if "call" in call
+                else canonical(node.apply(FLEET, bytes.fromhex(call["entry"])))
+                for call in calls
             ]
         finally:
             service.close()
 
-    return asyncio.run(asyncio.wait_for(ask(), 20))
+    return asyncio.run(asyncio.wait_for(run_calls(), 20))
 
 
-def test_calls_of_operators_are_answered_as_ever(folder: Path) -> None:
-    stated = golden("cluster/calls.json")
-    assert answers_to(stated, folder) == [one["answer"] for one in stated]
+def test_operators_calls_get_the_golden_answers(folder: Path) -> None:
+    calls = golden("cluster/calls.json")
+    assert answers_to(calls, folder) == [call["answer"] for call in calls]
 
 
-def test_every_call_of_operators_is_among_them() -> None:
-    taken = [
-        one["call"]
-        for one in golden("cluster/calls.json")
-        if "call" in one and one["answer"].startswith("+OK")
+def test_the_golden_calls_cover_every_operators_call() -> None:
+    accepted_calls = [
+        call["call"]
+        for call in golden("cluster/calls.json")
+        if "call" in call and call["answer"].startswith("+OK")
     ]
-    read = [parse_call(call.encode()) for call in taken]
-    assert {type(one) for one in read if isinstance(one, Command)} == set(operator_commands().values())
-    assert StatusRequest() in read
+    parsed_calls = [parse_call(call.encode()) for call in accepted_calls]
+    assert {type(command) for command in parsed_calls if isinstance(command, Command)} == set(
+        operator_commands().values()
+    )
+    assert StatusRequest() in parsed_calls
 
 
-# What goes between members
+# Connections between members
 # --------------------------------------------------------------------------------------------
 
 
 async def next_frame(reader: asyncio.StreamReader) -> str:
-    """One frame off a link, as it came."""
+    """Read one frame from a connection, and return it in hex."""
     size = await reader.readexactly(4)
     return (size + await reader.readexactly(int.from_bytes(size, "big"))).hex()
 
 
-async def dialled() -> dict[str, str]:
-    """What links that dial say to whoever answers."""
-    spoken: asyncio.Future[dict[str, str]] = asyncio.get_running_loop().create_future()
+async def frames_of_dialling_side() -> dict[str, str]:
+    """The frames that a transport sends on a connection that it dialled."""
+    frames: asyncio.Future[dict[str, str]] = asyncio.get_running_loop().create_future()
 
-    async def answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         hello = await next_frame(reader)
         writer.write(
             encode_frame(messages.Envelope(messages.PROTOCOL_VERSION, CLUSTER, RECEIVER, SENDER, ()))
         )
-        spoken.set_result(
+        frames.set_result(
             {"hello": hello, "messages": await next_frame(reader), "question": await next_frame(reader)}
         )
         writer.close()
 
-    async with await asyncio.start_server(answer, HOST, 0) as server:
+    async with await asyncio.start_server(serve, HOST, 0) as server:
         address = HOST, int(server.sockets[0].getsockname()[1])
-        links = ClusterTransport(
-            CLUSTER, SENDER, {"b": address}, lambda sender, those: None, lambda error: None, Random(1)
+        transport = ClusterTransport(
+            CLUSTER, SENDER, {"b": address}, lambda sender, received: None, lambda error: None, Random(1)
         )
         for _, message in MESSAGES:
-            links.send(RECEIVER, message)
+            transport.send(RECEIVER, message)
         try:
-            return await spoken
+            return await frames
         finally:
-            links.close()
+            transport.close()
 
 
-async def answered() -> dict[str, str]:
-    """What links that are dialled answer."""
+async def frames_of_answering_side() -> dict[str, str]:
+    """The frames that a transport sends on a connection that it accepted."""
     listening = socket.create_server((HOST, 0))
-    links = ClusterTransport(
-        CLUSTER, RECEIVER, {"a": (HOST, 1)}, lambda sender, those: None, lambda error: None, Random(1)
+    transport = ClusterTransport(
+        CLUSTER, RECEIVER, {"a": (HOST, 1)}, lambda sender, received: None, lambda error: None, Random(1)
     )
-    links.listen([listening])
+    transport.listen([listening])
     reader, writer = await asyncio.open_connection(HOST, listening.getsockname()[1])
     try:
         hello = encode_frame(messages.Envelope(messages.PROTOCOL_VERSION, CLUSTER, SENDER, "b", ()))
@@ -520,24 +529,23 @@
         return {"hello": first, "answer": await next_frame(reader)}
     finally:
         writer.close()
-        links.close()
+        transport.close()
 
 
 def link_frames() -> dict[str, dict[str, str]]:
-    """All frames of either side."""
+    """The frames of both sides."""
     return {
-        "dialled": asyncio.run(asyncio.wait_for(dialled(), 20)),
-        "answered": asyncio.run(asyncio.wait_for(answered(), 20)),
+        "dialled": asyncio.run(asyncio.wait_for(frames_of_dialling_side(), 20)),
+        "answered": asyncio.run(asyncio.wait_for(frames_of_answering_side(), 20)),
     }
 
 
-def test_links_speak_as_ever() -> None:
+def test_link_frames_match_the_golden_file() -> None:
     assert link_frames() == golden("cluster/exchanges.json")["links"]
 
 
 def node_events() -> list[NodeEvent]:
-    """What happens to a member that comes back with the golden store: a leader is heard, calls come and
-    go."""
+    """Events for a member that restarts with the golden store: messages from a leader, and calls."""
     last = history_entries(OTHER)[-1]
     put = key_value.PutValue(id="x1", name="note", value="armed")
     entry = messages.LogEntry(
@@ -553,7 +561,7 @@
         leader_commit=last.index,
         heartbeat_round=1,
     )
-    beat = messages.AppendEntries(
+    heartbeat = messages.AppendEntries(
         group=OTHER,
         term=8,
         prev_log_index=entry.index,
@@ -585,24 +593,24 @@
         RecordsPersisted("g0", 1),
         RecordsPersisted(OTHER, 1),
         RecordsPersisted(OTHER, 2),
-        MessageReceived("c/3", beat),
+        MessageReceived("c/3", heartbeat),
         ClusterCall("a.1", put),
         ClusterCall("a.2", key_value.ReadValue(id="x3", name="note")),
     ]
 
 
 def node_exchange(folder: Path) -> list[list[str]]:
-    """What the node wants done at each event; messages also by their bytes."""
-    disk = opened(folder)
-    disk.close()
-    setup = node_setup(service_section(folder), MEMBER, disk.incarnation)
+    """The effects of the node for each event, in canonical form; messages also as their bytes in hex."""
+    storage = open_existing_store(folder)
+    storage.close()
+    setup = node_setup(cluster_settings(folder), MEMBER, storage.incarnation)
     node = ClusterNode(
-        setup, disk.persisted_groups, Random(1), NODE_TIME_MS, START_MS + 80_000.0, Invariants(strict=True)
+        setup, storage.persisted_groups, Random(1), NODE_TIME_MS, START_MS + 80_000.0, Invariants(strict=True)
     )
-    told: list[list[str]] = []
+    exchange: list[list[str]] = []
     for event in node_events():
         effects = node.handle(NODE_TIME_MS + 1.0, START_MS + 80_000.0, event)
-        told.append(
+        exchange.append(
             [canonical(effect) for effect in effects]
             + [
                 msgspec.msgpack.encode(effect.message).hex()
@@ -610,39 +618,39 @@
                 if isinstance(effect, SendMessage)
             ]
         )
-    return told
+    return exchange
 
 
-def test_a_node_that_comes_back_answers_and_stores_as_ever(folder: Path) -> None:
+def test_a_restarted_node_answers_and_stores_as_recorded(folder: Path) -> None:
     assert node_exchange(folder) == golden("cluster/exchanges.json")["node"]
 
 
-def forced_group(folder: Path) -> str:
-    """The log of a group that goes on by hand without its other members."""
-    disk = opened(folder)
-    disk.close()
+def forced_log(folder: Path) -> str:
+    """The log of a group after a forced recovery with a single voter."""
+    storage = open_existing_store(folder)
+    storage.close()
     return canonical(
         forced_recovery.force_sole_voter(
-            disk.persisted_groups[OTHER], OTHER, "a/1", ("b/2", "c/3"), START_MS + 90_000.5
+            storage.persisted_groups[OTHER], OTHER, "a/1", ("b/2", "c/3"), START_MS + 90_000.5
         )
     )
 
 
-def test_a_group_that_goes_on_by_hand_has_the_same_log_as_ever(folder: Path) -> None:
-    assert forced_group(folder) == golden("cluster/exchanges.json")["forced"]
+def test_a_forced_recovery_gives_the_golden_log(folder: Path) -> None:
+    assert forced_log(folder) == golden("cluster/exchanges.json")["forced"]
 
 
 REPLIES = ((ApplyResult(value=["armed", 3]), None, "c/3"), *((None, error, "c/3") for error in ERRORS))
 
 
 @pytest.mark.parametrize("reply", REPLIES, ids=["applied", *(error.code for error in ERRORS)])
-def test_the_body_of_a_forwarded_answer_is_as_ever(reply: tuple[Any, Any, str]) -> None:
+def test_forwarded_replies_have_the_golden_bytes(reply: tuple[Any, Any, str]) -> None:
     name = "applied" if reply[1] is None else reply[1].code
     body = golden("cluster/exchanges.json")["replies"][name]
     assert msgspec.msgpack.encode(reply).hex() == body
-    assert forwarded_answers.decode(bytes.fromhex(body)) == reply
+    assert reply_decoder.decode(bytes.fromhex(body)) == reply
 
 
 @pytest.mark.parametrize("error", ERRORS, ids=lambda error: error.code)
-def test_the_line_of_an_error_is_as_ever(error: AnyError) -> None:
+def test_errors_have_the_golden_lines(error: AnyError) -> None:
     assert format_answer(error).decode() == golden("cluster/exchanges.json")["lines"][error.code]
