--- a/tests/cluster/test_golden_cluster.py
+++ b/tests/cluster/test_golden_cluster.py
@@ -465,9 +465,9 @@
 
 def test_the_golden_calls_cover_every_operators_call() -> None:
     accepted_calls = [
-        call["call"]
-        for call in golden("cluster/calls.json")
-        if "call" in call and call["answer"].startswith("+OK")
+        entry["call"]
+        for entry in golden("cluster/calls.json")
+        if "call" in entry and entry["answer"].startswith("+OK")
     ]
     parsed_calls = [parse_call(call.encode()) for call in accepted_calls]
     assert {type(command) for command in parsed_calls if isinstance(command, Command)} == set(
