--- a/badgeryoke/cluster/timings.py
+++ b/badgeryoke/cluster/timings.py
@@ -20,9 +20,7 @@
     election_ms: float = 600.0  # election timeout, randomized between this and twice this
     probe_ms: float = 500.0  # SWIM protocol period: one member is pinged per period
     probe_timeout_ms: float = 150.0  # until an indirect probe through other members
-    suspect_periods: float = (
-        4.0  # minimum suspicion timeout, in periods times the logarithm of the cluster size
-    )
+    suspect_periods: float = 4.0  # minimum suspicion timeout in periods, times max(1, log10(members))
     repair_after_ms: float = 3000.0  # how long a member is dead before its replicas are replaced
     lease_ms: float = 2000.0  # duration of a lease on a rate or on connections
     clock_drift: float = 0.01  # bound on the relative rate difference between any two clocks
