--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -65,7 +65,7 @@
 # ------------------------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize(("count", "within"), [(3, 5000.0), (40, 8000.0), (200, 12000.0)])
+@pytest.mark.parametrize(("count", "detection_ms"), [(3, 5000.0), (40, 8000.0), (200, 12000.0)])
 def test_a_dead_member_is_detected_in_time_at_a_constant_message_rate(
     count: int, detection_ms: float
 ) -> None:
@@ -120,7 +120,7 @@
     assert dead_during(net, 60000.0) == set()
 
 
-@pytest.mark.parametrize("length", [900.0, 30000.0])
+@pytest.mark.parametrize("frozen_ms", [900.0, 30000.0])
 def test_a_process_declares_no_member_dead_after_it_was_frozen(frozen_ms: float) -> None:
     net = running_network(10, 6)
     # m001 gets no answers from m002, so that failing probes are in flight when it freezes.
