--- a/tests/cluster/reservations/test_lease_safety.py
+++ b/tests/cluster/reservations/test_lease_safety.py
@@ -247,7 +247,7 @@
         ]
 
     patch.setattr(LeasePool, "expired", expired)
-    patch.setattr(GuaranteedRates, "seen", lambda self, now: None)
+    patch.setattr(GuaranteedRates, "record_applied", lambda self, now: None)
 
 
 def capacity_freed_before_the_change(patch: pytest.MonkeyPatch) -> None:
--- a/tests/testbed/test_planted_faults.py
+++ b/tests/testbed/test_planted_faults.py
@@ -130,7 +130,7 @@
 
 def ids_forgotten(patch: pytest.MonkeyPatch) -> None:
     """A repeat of a call takes effect again."""
-    patch.setattr(PutValue, "once", False)
+    patch.setattr(PutValue, "remembers_answer", False)
 
 
 def reads_alone(patch: pytest.MonkeyPatch) -> None:
