--- a/badgeryoke/cluster/raft/election.py
+++ b/badgeryoke/cluster/raft/election.py
@@ -1,10 +1,11 @@
 """Terms, pre-vote and votes (paper, 5.2 and 5.4.1; dissertation, 9.6 and 4.2.3).
 
-Who is answered.  Votes are counted only from member ids that are voters in the candidate's own configuration,
-so an earlier incarnation's never are.  A voter answers every candidate that is a member here, *and* an
-unknown one whose log is strictly newer than its own: that one may be a member by an entry that is missing
-here, and a group could otherwise stay without a leader for good.  An unknown candidate with no newer log gets
-no answer and moves no term.  Removed members disturb nobody, as they get no pre-vote while a leader is heard.
+A candidate counts votes only from member ids that are voters in its own configuration, so it never counts the
+vote of an earlier incarnation.  A voter replies to every candidate in its configuration, and also to an unknown
+candidate whose log is strictly newer than its own: an entry that is missing here may have made that candidate a
+member, and without a reply the group could stay without a leader forever.  An unknown candidate without a newer
+log gets no reply and does not change the voter's term.  Removed members cannot disrupt the group, as they get no
+pre-vote while the voters hear from a leader.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 
 
 class Election(Persistence):
-    """The steps from follower over candidate to leader, and back."""
+    """Role changes between follower, candidate and leader, and the votes that decide them."""
 
-    # Changes of role
+    # Role changes
 
     def _become_follower(self, now_ms: float, term: int, leader: MemberId = "") -> None:
-        """Follow in a term, that leader where it is known."""
+        """Become a follower in `term`, of `leader` if it is known."""
         if self.role is Role.LEADER:
             self._end_leadership()
         if self.role is not Role.FOLLOWER or leader:
@@ -36,10 +37,10 @@
         self.leader_id = leader
 
     def _start_pre_vote(self, now_ms: float) -> None:
-        """Poll whether votes would be granted; nothing is persisted by it and no term moves.
+        """Ask the voters whether they would grant a vote; this persists nothing and changes no term.
 
-        The retry comes soon, as one lost message or one voter that has just heard the leader must not cost a
-        complete election timeout.
+        The deadline for the retry is shorter than an election timeout, so that one lost message, or one voter that
+        has just heard from the leader, does not cost a complete election timeout.
         """
         self.role, self.leader_id, self._votes = Role.PRE_CANDIDATE, "", {self.member_id: None}
         self._election_deadline_ms = now_ms + self._timings.election_ms * (0.25 + 0.25 * self._rng.random())
@@ -51,8 +52,10 @@
             self._send(voter, request)
 
     def _start_election(self, now_ms: float, leadership_transfer: bool = False) -> None:
-        """Be a candidate in a new term.  Its own vote counts, and others are requested, once it is
-        persisted."""
+        """Become a candidate in a new term.
+
+        The candidate's own vote is counted, and the other votes are requested, once its vote is persisted.
+        """
         self._set_term_and_vote(self.current_term + 1, self.member_id)
         self.role, self.leader_id, self._votes = Role.CANDIDATE, "", {}
         self._incoming_snapshot, self._confirmed_round = None, 0
@@ -70,23 +73,23 @@
         return tuple(voter for voter in self.config.voters if voter != self.member_id)
 
     def _handle_timeout_now(self, now_ms: float, sender: MemberId, message: TimeoutNow) -> None:
-        """The leader transfers its leadership to this member."""
+        """Start an election at once: the leader transfers its leadership to this member."""
         from_leader = message.term == self.current_term and self.leader_id == sender
         if from_leader and self.member_id in self.config.voters:
             self._start_election(now_ms, leadership_transfer=True)
 
     def _note_leader(self, term: int, leader: MemberId) -> bool:
-        """Remember who leads a term; False where another was seen to lead it."""
+        """Record the leader of a term; False if another leader of the same term is already recorded."""
         known_term, known_leader = self._latest_leader
-        holds = self._check(
+        is_only_leader = self._check(
             Rule.ONE_LEADER,
             known_term != term or known_leader == leader,
             lambda: f"{self.group}: {known_leader} and {leader} in {term}, seen by {self.member_id}",
         )
         self._latest_leader = (term, leader)
-        return holds
+        return is_only_leader
 
-    # Answers to candidates
+    # Replies to candidates
 
     def _handle_request_vote(self, now_ms: float, candidate: MemberId, request: RequestVote) -> None:
         own_log = (self._last_log_term, self.last_log_index)
@@ -100,7 +103,7 @@
             return
         if request.term > self.current_term:
             if leader_heard:
-                return  # the candidate's term must not end a leader that is heard
+                return  # the candidate's term must not depose a leader that this member hears from
             self._become_follower(now_ms, request.term)
         if request.term == self.current_term and log_is_current and self._may_grant_vote(candidate):
             self._grant_vote(now_ms, candidate)
@@ -108,7 +111,7 @@
             self._send(candidate, RequestVoteReply(self.group, self.current_term, False, False))
 
     def _hears_leader(self, now_ms: float) -> bool:
-        """Whether this member leads, or heard the leader within an election time (dissertation, 4.2.3)."""
+        """Whether this member leads, or heard from the leader within `Timings.election_ms` (dissertation, 4.2.3)."""
         return self.role is Role.LEADER or now_ms - self._leader_heard_ms < self._timings.election_ms
 
     def _answer_pre_vote(self, candidate: MemberId, request: RequestVote, would_grant: bool) -> None:
@@ -125,7 +128,7 @@
     def _may_grant_vote(self, candidate: MemberId) -> bool:
         return self.voted_for in ("", candidate)
 
-    # Votes of others
+    # Received votes
 
     def _handle_request_vote_reply(self, now_ms: float, voter: MemberId, reply: RequestVoteReply) -> None:
         if reply.pre_vote:
@@ -142,8 +145,8 @@
             if reply.term > self.current_term:
                 self._become_follower(now_ms, reply.term)
             return
-        polling = self.role is Role.PRE_CANDIDATE and reply.term == self.current_term + 1
-        if polling and self._is_eligible_voter(voter):
+        is_current_poll = self.role is Role.PRE_CANDIDATE and reply.term == self.current_term + 1
+        if is_current_poll and self._is_eligible_voter(voter):
             self._votes[voter] = None
             if self._has_majority_of_votes():
                 self._start_election(now_ms)
--- a/badgeryoke/cluster/raft/follower_log.py
+++ b/badgeryoke/cluster/raft/follower_log.py
@@ -1,4 +1,4 @@
-"""The follower's side of log replication, and the application of committed entries (paper, 5.3)."""
+"""The follower's side of log replication, and applying committed entries on every replica (paper, 5.3)."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class FollowerLog(Persistence):
-    """What a member does with a leader's entries, and every replica with committed ones."""
+    """Accepts entries from the leader, and applies committed entries."""
 
     # Appends
 
     def _accept_leader(self, now_ms: float, sender: MemberId, term: int, heartbeat_round: int) -> bool:
-        """Whether the sender leads the current term, or a later one; it is followed then."""
+        """Whether the sender leads the current term or a later one; if so, this member becomes its follower."""
         if term < self.current_term:
             self._reject_append(sender, self.last_log_index + 1, heartbeat_round)
             return False
@@ -31,7 +31,7 @@
         if not self._accept_leader(now_ms, leader, append.term, append.heartbeat_round):
             return
         if not entries_are_contiguous(append.prev_log_index, append.entries):
-            return  # no leader sends that
+            return  # a correct leader never sends this
         self._leader_commit = append.leader_commit
         retry_index = self._retry_index(append)
         if retry_index is not None:
@@ -44,9 +44,9 @@
         self._commit_up_to(now_ms, min(append.leader_commit, match_index))
 
     def _retry_index(self, append: AppendEntries) -> int | None:
-        """From which index the leader has to send instead; None where the append fits.
+        """The index from which the leader has to send instead; None if the append follows on from the log.
 
-        0: this member knows no configuration and needs a snapshot.
+        0 means that this member has no configuration yet and needs a snapshot.
         """
         log = self._log
         if log.config is None:
@@ -59,7 +59,7 @@
         return None
 
     def _append_entries(self, entries: tuple[LogEntry, ...]) -> bool:
-        """Append what is not there yet; only what differs is truncated, as an old append may come late."""
+        """Append the entries that are missing; truncate only from a conflicting entry on, as appends may arrive late."""
         log = self._log
         for position, entry in enumerate(entries):
             if entry.index <= log.base_index or log.term_at(entry.index) == entry.term:
@@ -79,7 +79,7 @@
         return True
 
     def _truncate(self, index: int) -> bool:
-        """Remove the entries from an index on, which no majority has."""
+        """Remove the entries from an index on; they must not be committed."""
         if not self._check(
             Rule.COMMITTED_STAYS,
             index > self.commit_index,
@@ -98,9 +98,9 @@
         )
 
     def _acknowledge(self, leader: MemberId, match_index: int, heartbeat_round: int) -> None:
-        """Reply with what matches, once it is persisted.
+        """Acknowledge the entries up to `match_index` once they are persisted.
 
-        A new round is confirmed at once, as that only says whom this member follows.
+        A new heartbeat round is confirmed at once, as that only states which leader this member follows.
         """
         reply = AppendEntriesReply(self.group, self.current_term, True, match_index, heartbeat_round)
         if match_index <= self._persisted_index and self._persisted_term == self.current_term:
@@ -118,7 +118,7 @@
     # Committed entries
 
     def _commit_up_to(self, now_ms: float, index: int) -> None:
-        """Move the commit index and apply what is committed by it."""
+        """Advance the commit index and apply the entries up to it."""
         if index <= self.commit_index:
             return
         commit_before, self.commit_index = self.commit_index, index
@@ -146,7 +146,7 @@
         ):
             return False
         self.last_applied = entry.index
-        result: Any = None  # of the state machine's own type
+        result: Any = None  # each state machine has its own result type
         match entry.kind:
             case EntryKind.COMMAND:
                 result = self._state_machine.apply(now_ms, entry.index, entry.body)
@@ -159,7 +159,7 @@
 
 
 def entries_are_contiguous(prev_log_index: int, entries: tuple[LogEntry, ...]) -> bool:
-    """Whether an append's entries carry the indexes that follow on from its previous entry."""
+    """Whether the indexes of an append's entries follow on from `prev_log_index` without a gap."""
     if not entries:
         return True
     return entries[0].index == prev_log_index + 1 and entries[-1].index == prev_log_index + len(entries)
--- a/badgeryoke/cluster/raft/log.py
+++ b/badgeryoke/cluster/raft/log.py
@@ -1,8 +1,8 @@
-"""A group's log in memory: the entries after its compacted part, and the configurations that stand in it.
+"""A group's log in memory: the entries after its compacted part, and the configurations in force.
 
-Entries up to `base_index` have been replaced by a snapshot (paper, 7).  A configuration entry is in force from
-where it is appended (dissertation, 4.1), so the log knows for each index which configuration is in force, and
-a truncation takes a configuration entry back with it.
+Entries up to `base_index` have been replaced by a snapshot (paper, 7).  A configuration is in force as soon as its
+entry is appended (dissertation, 4.1), so the log records from which index on each configuration is in force, and
+truncating a configuration entry restores the configuration before it.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 
 def encode_config(config: GroupConfiguration) -> bytes:
-    """The body of a `EntryKind.CONFIG` entry."""
+    """The body of an `EntryKind.CONFIG` entry."""
     return _encoder.encode(config)
 
 
 class RaftLog:
     """Entries `base_index + 1` to `last_index`.
 
-    `config` is None where no configuration is known yet, at a new member without a snapshot.
+    `config` is None while no configuration is known: at a new member that has no snapshot yet.
     """
 
     def __init__(
@@ -42,12 +42,12 @@
 
     @classmethod
     def load(cls, saved: PersistedGroup) -> RaftLog:
-        """The log that was persisted.
+        """Restore the log from stable storage.
 
-        Raises ValueError where the entries do not follow on from the snapshot, or are newer than the term.
+        Raises ValueError if the entries do not follow on from the snapshot, or have a newer term than the saved one.
 
-        Entries of an older term than the snapshot's were superseded by it (it came from a leader that never
-        had them) and are dropped, should a store have kept them; the next append overwrites them.
+        Entries of an older term than the snapshot's are dropped: the snapshot came from a leader that never had
+        them, and the next append overwrites them in storage.
         """
         snapshot, entries = saved.snapshot, saved.entries
         if snapshot is None:
@@ -64,7 +64,7 @@
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry, or `base_index` where there is none."""
+        """The index of the last entry, or `base_index` if there is none."""
         return self.base_index + len(self._entries)
 
     @property
@@ -78,11 +78,11 @@
         return self._configs[-1][0]
 
     def config_at(self, index: int) -> GroupConfiguration | None:
-        """The configuration in force at an index, which is not before `base_index`."""
-        return next(config for at, config in reversed(self._configs) if at <= index)
+        """The configuration in force at an index that is not before `base_index`."""
+        return next(config for from_index, config in reversed(self._configs) if from_index <= index)
 
     def term_at(self, index: int) -> int:
-        """The term of the entry at an index; 0 where the log has none."""
+        """The term of the entry at an index; 0 if the log has no entry there."""
         if index == self.base_index:
             return self.base_term
         position = self._position(index)
@@ -93,7 +93,7 @@
         return self._entries[self._position(index)]
 
     def entries_from(self, index: int, max_entries: int, max_bytes: int) -> tuple[LogEntry, ...]:
-        """Entries from an index on, within both bounds, but at least one where there is one."""
+        """Entries from an index on, within both bounds; the first entry is included even if it exceeds `max_bytes`."""
         position = self._position(index)
         entries = self._entries[position : position + max_entries]
         size_bytes = 0
@@ -104,7 +104,7 @@
         return tuple(entries)
 
     def first_of_term(self, index: int, min_index: int) -> int:
-        """The first index of the same term as the entry at `index`, but not before `min_index`."""
+        """The first index with the same term as the entry at `index`, but not before `min_index`."""
         term = self.term_at(index)
         while index > min_index and self.term_at(index - 1) == term:
             index -= 1
@@ -123,11 +123,11 @@
             self._configs.pop()
 
     def compact_up_to(self, index: int) -> None:
-        """Drop the entries up to an index, for which a snapshot stands."""
+        """Drop the entries up to an index; a snapshot contains their effect."""
         config, term = self.config_at(index), self.term_at(index)
         del self._entries[: index - self.base_index]
         self.base_index, self.base_term = index, term
-        later_configs = [(at, later) for at, later in self._configs if at > index]
+        later_configs = [(from_index, later) for from_index, later in self._configs if from_index > index]
         self._configs = [(index, config), *later_configs]
 
     def _position(self, index: int) -> int:
--- a/badgeryoke/cluster/raft/log_replication.py
+++ b/badgeryoke/cluster/raft/log_replication.py
@@ -12,16 +12,16 @@
 from badgeryoke.cluster.raft.persistence import Persistence
 from badgeryoke.cluster.raft.state_types import FollowerProgress, PendingRead, Role
 
-MAX_APPENDS_IN_FLIGHT = 4  # to one member; what comes meanwhile makes the next append
-MAX_COMMAND_BYTES = 128 * 1024  # of one proposal; a longer one is rejected
-MAX_APPEND_BYTES = 256 * 1024  # of one append's entries; a single entry may be longer
-MIN_HEARTBEATS_PER_ELECTION_TIMEOUT = 3  # of a leader that has nothing to report
+MAX_APPENDS_IN_FLIGHT = 4  # to one member; entries proposed meanwhile are batched into the next append
+MAX_COMMAND_BYTES = 128 * 1024  # size of one proposal; a larger one is rejected
+MAX_APPEND_BYTES = 256 * 1024  # total size of the entries of one append; a single entry may be larger
+MIN_HEARTBEATS_PER_ELECTION_TIMEOUT = 3  # sent even by an idle leader
 
 
 class LogReplication(Persistence):
-    """What a leader does to bring its log to the other members."""
+    """Replicates the leader's log to the other members."""
 
-    # Begin and end of a leadership
+    # Start and end of leadership
 
     def _become_leader(self, now_ms: float) -> None:
         if not self._note_leader(self.current_term, self.member_id):
@@ -36,7 +36,10 @@
         self._log_event("info", "leads", last=self.last_log_index)
 
     def _end_leadership(self) -> None:
-        """Proposals in flight may be committed by the next leader, or not; reads changed nothing."""
+        """Fail the operations in flight.
+
+        The outcome of proposals is unknown, as the next leader may commit them; reads have changed nothing.
+        """
         for token in self._pending.values():
             reason = "the leader changed before it was committed"
             self._complete(token, UnknownOutcome(self.group, reason))
@@ -47,9 +50,9 @@
         self.leading, self._transfer, self._next_heartbeat_ms = False, None, math.inf
 
     def _heard_from_quorum(self, now_ms: float) -> bool:
-        """Check-quorum: whether a majority replied within an election time."""
-        heard_ms = self._reached_by_quorum(now_ms, lambda progress: progress.last_reply_ms)
-        self._quorum_until_ms = heard_ms + self._timings.election_ms
+        """Check-quorum: whether a majority replied within `Timings.election_ms`."""
+        quorum_reply_ms = self._reached_by_quorum(now_ms, lambda progress: progress.last_reply_ms)
+        self._quorum_until_ms = quorum_reply_ms + self._timings.election_ms
         return now_ms <= self._quorum_until_ms
 
     # Proposals
@@ -65,7 +68,7 @@
         self._replicate_to_all(now_ms)
 
     def _append_as_leader(self, kind: EntryKind, body: bytes) -> int:
-        """Append an entry of the current term; its index."""
+        """Append an entry of the current term; returns its index."""
         entry = LogEntry(self.last_log_index + 1, self.current_term, kind, body)
         config_before = self.config
         self._log.append(entry)
@@ -77,8 +80,11 @@
     # Heartbeats
 
     def _next_heartbeat_slot_ms(self, now_ms: float) -> float:
-        """The next multiple of `heartbeat_ms`: all groups led by one gateway send their heartbeats at one
-        moment, and one frame to each peer carries them, as one carries the replies."""
+        """The next multiple of `heartbeat_ms`.
+
+        All groups that one gateway leads thus send their heartbeats at the same time, so that one frame carries all
+        heartbeats to a peer and one frame carries all its replies.
+        """
         heartbeat_ms = self._timings.heartbeat_ms
         return (now_ms // heartbeat_ms + 1.0) * heartbeat_ms
 
@@ -91,14 +97,14 @@
             self._send_heartbeat_round(now_ms)
 
     def _may_skip_heartbeat(self, now_ms: float) -> bool:
-        """Whether a heartbeat may be left out: all members have all entries, know that they are committed,
-        and have replied to the last round.
-
-        A member that is silent for an election time counts for nothing here; a lost heartbeat, or a lost
-        reply, is a round without a reply, and the next goes out after `heartbeat_ms`.  No guarantee rests on
-        when heartbeats go out: check-quorum and the refusal of votes count an election time from the last
-        contact, a follower's timeout is at least that, and `MIN_HEARTBEATS_PER_ELECTION_TIMEOUT` heartbeats
-        fall within it; a read starts a round of its own at once, and proposals go out at once.
+        """Whether this heartbeat may be skipped: every member has all entries, has received the commit index, and has
+        replied to the last round.
+
+        Members that have not replied for `Timings.election_ms` are ignored.  After a lost heartbeat or a lost reply
+        the round has no reply, so the next heartbeat is sent after `heartbeat_ms`.  Skipping affects no guarantee:
+        check-quorum and the refusal of votes count `election_ms` from the last contact, a follower's election timeout
+        is at least that long, and `MIN_HEARTBEATS_PER_ELECTION_TIMEOUT` heartbeats fall within it.  Reads start a
+        round at once, and proposals are sent at once.
         """
         silence_ms = self._next_heartbeat_slot_ms(now_ms) - self._last_heartbeat_ms
         if silence_ms > self._timings.election_ms / MIN_HEARTBEATS_PER_ELECTION_TIMEOUT:
@@ -116,12 +122,12 @@
         return now_ms - progress.last_reply_ms >= self._timings.election_ms
 
     def _is_idle(self, progress: FollowerProgress) -> bool:
-        """Whether a member has replied to the last round and knows that all its entries are committed."""
+        """Whether a member has replied to the last round, and has every committed entry and the commit index."""
         knows_commit_index = progress.match_index == progress.catch_up_index == self.commit_index
         return progress.replied_round == self._heartbeat_round and knows_commit_index
 
     def _send_heartbeat_round(self, now_ms: float) -> None:
-        """One round to everybody; waiting reads are completed when a majority has replied to it."""
+        """Start a heartbeat round; the waiting reads are completed once a majority has replied to it."""
         self._heartbeat_round += 1
         self._next_heartbeat_ms = self._next_heartbeat_slot_ms(now_ms)
         self._last_heartbeat_ms = now_ms
@@ -145,10 +151,14 @@
     def _replicate_to(
         self, now_ms: float, member: MemberId, progress: FollowerProgress, heartbeat: bool = False
     ) -> None:
-        """Send a member what it lacks.  `heartbeat`: an append in any case, and again what got no reply."""
+        """Send a member the entries or the snapshot chunk that it lacks.
+
+        `heartbeat`: send an append even without entries, and resend a probe or a chunk that got no reply.
+        """
         if heartbeat:
             progress.awaiting_reply = False
-            if self._is_silent(now_ms, progress):  # entries or a chunk would be wasted
+            # A member that may be down gets a heartbeat without entries.
+            if self._is_silent(now_ms, progress):
                 self._send_append(member, max(progress.next_index - 1, self._log.base_index), ())
                 return
         if progress.next_index <= self._log.base_index:
@@ -194,7 +204,7 @@
     def _note_reply(
         self, now_ms: float, sender: MemberId, term: int, heartbeat_round: int
     ) -> FollowerProgress | None:
-        """The progress of a member that replies to this leader; None where the reply does not count."""
+        """Record a reply and return the progress of its sender; None if the reply is stale or unexpected."""
         if term > self.current_term:
             self._become_follower(now_ms, term)
             return None
@@ -238,9 +248,9 @@
     def _handle_append_rejection(
         self, sender: MemberId, progress: FollowerProgress, reply: AppendEntriesReply
     ) -> None:
-        """Go back to the index that the member names.
+        """Probe again from the index that the member requests.
 
-        0 is named by a new member that knows no configuration: it takes a snapshot before anything else.
+        A new member that has no configuration requests index 0, and receives a snapshot first.
         """
         is_new_member = reply.index == 0 == progress.match_index
         if reply.index < progress.next_index and (reply.index > progress.match_index or is_new_member):
@@ -252,19 +262,19 @@
     def _handle_lost_entries(
         self, sender: MemberId, progress: FollowerProgress, reply: AppendEntriesReply
     ) -> None:
-        """The member rejects entries below what it has acknowledged.
+        """Handle a member that rejects an append at or below the index that it has acknowledged.
 
-        The reply may be late, or to an append that followed a lost one while the member had an old tail: so
-        the leader goes on after what was acknowledged.  A member that rejects that as well, in a later round,
-        lacks it: its data directory was restored from a backup.  It cannot be brought up to date, and nobody
-        else could report it.
+        The reply may be late, or it may answer an append that followed a lost one while the member's log ended in
+        conflicting entries.  So the leader first probes again after the acknowledged index.  A member that rejects
+        this too, in a later round, has lost entries that it acknowledged: its data directory was restored from a
+        backup.  It cannot be brought up to date, and only the leader can detect this, so the leader logs it.
         """
         if progress.entries_lost_round is None:
             progress.probe_from(progress.match_index + 1)
             progress.entries_lost_round = self._heartbeat_round
             progress.in_flight.clear()
         elif reply.heartbeat_round > progress.entries_lost_round:
-            progress.entries_lost_round = math.inf  # reported once
+            progress.entries_lost_round = math.inf  # log the loss only once
             self._log_event(
                 "error",
                 "copy-went-back",
@@ -279,8 +289,8 @@
         return self._log.term_at(index) == self.current_term
 
     def _advance_commit_index(self, now_ms: float) -> None:
-        """Commit what a majority has persisted (paper, figure 2); entries of an older term only along with
-        one of the current term (5.4.2)."""
+        """Commit the entries that a majority has persisted (paper, figure 2); entries of an older term only together
+        with an entry of the current term (5.4.2)."""
         index = self._reached_by_quorum(self._persisted_index, lambda progress: progress.match_index)
         if index <= self.commit_index or not self._is_entry_of_current_term(index):
             return
--- a/badgeryoke/cluster/raft/membership_change.py
+++ b/badgeryoke/cluster/raft/membership_change.py
@@ -1,7 +1,7 @@
 """Membership changes, one member at a time with learners first (dissertation, 4.1, 4.2.1 and 4.2.2).
 
-A configuration is in force from when it is appended.  A new member is added as a learner, gets the log, is
-promoted to voter once it has caught up, and only then is a lost voter removed.
+A configuration is in force as soon as it is appended.  A new member is added as a learner, receives the log and is
+promoted to voter once it has caught up; only then is a lost voter removed.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
 
 class MembershipChange(Persistence):
-    """Learners, promotion and removal at the leader."""
+    """The leader's side of membership changes: adding learners, promotion and removal."""
 
     def _has_caught_up(self, member: MemberId) -> bool:
         progress = self._followers.get(member)
         return progress is not None and progress.has_caught_up()
 
     def _track_followers(self, now_ms: float) -> None:
-        """Keep progress of every member of the configuration."""
+        """Track the progress of every member of the configuration."""
         for member in self.config.voters + self.config.learners:
             if member != self.member_id and member not in self._followers:
                 self._followers[member] = FollowerProgress(self.last_log_index + 1, now_ms)
@@ -42,7 +42,7 @@
             return
         config = changed_config(self.config, change)
         if config == self.config:
-            self._complete(change.token, config)  # it is so already
+            self._complete(change.token, config)  # the change has already been made
             return
         if not self._check_change_may_begin(change):
             self._complete(change.token, self.stop_reason)
@@ -53,7 +53,7 @@
             self._replicate_to(now_ms, member, progress)
 
     def _change_rejection(self, change: ChangeMembership) -> ClusterError | None:
-        """Why a change is rejected now."""
+        """The error with which a change is rejected now; None if it is accepted."""
         member = change.member
         if not self.leading or self._log.config_index > self.commit_index:
             return WrongState(self.group, "another change of members, or of leader, is under way")
@@ -67,11 +67,11 @@
         return None
 
     def _check_change_may_begin(self, change: ChangeMembership) -> bool:
-        no_other_change = self.leading and self._log.config_index <= self.commit_index
+        no_change_in_flight = self.leading and self._log.config_index <= self.commit_index
         promotes = change.action == MembershipAction.PROMOTE
         return self._check(
             Rule.CONFIG_ONE,
-            no_other_change and (not promotes or self._has_caught_up(change.member)),
+            no_change_in_flight and (not promotes or self._has_caught_up(change.member)),
             lambda: (
                 f"{change} at {self.last_log_index}, committed {self.commit_index}, "
                 f"config {self._log.config_index}"
@@ -79,13 +79,13 @@
         )
 
     def _check_single_change(self, before: GroupConfiguration) -> bool:
-        """Check that the configuration differs by one voter at most."""
+        """Check that the configuration differs from the one before by at most one voter."""
         changed_voters = set(before.voters) ^ set(self.config.voters)
         return self._check(Rule.CONFIG_ONE, len(changed_voters) <= 1, lambda: f"{before} to {self.config}")
 
     def _finish_config_change(self, now_ms: float) -> None:
-        """A configuration is committed: a removed member is notified once, and a removed leader steps
-        down."""
+        """Act on a committed configuration: send removed members a last append, and step down if this leader was
+        removed."""
         for member in [member for member in self._followers if not self._is_member(member)]:
             self._replicate_to(now_ms, member, self._followers[member], heartbeat=True)
             del self._followers[member]
@@ -97,7 +97,7 @@
 
 
 def changed_config(config: GroupConfiguration, change: ChangeMembership) -> GroupConfiguration:
-    """The configuration after a change; the same one where the change has been made already."""
+    """The configuration after a change; the same configuration if the change has already been made."""
     member = change.member
     other_voters = tuple(voter for voter in config.voters if voter != member)
     other_learners = tuple(learner for learner in config.learners if learner != member)
--- a/badgeryoke/cluster/raft/node.py
+++ b/badgeryoke/cluster/raft/node.py
@@ -1,16 +1,17 @@
-"""A replica of one group: its log, and the state machine that the log is applied to.  Raft without any I/O.
+"""A Raft replica of one group, without I/O: its log, and the state machine that the log is applied to.
 
 Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm (Extended Version)", 2014,
-and Ongaro's dissertation, 2014: pre-vote and check-quorum (9.6, 6.2), refusing votes while a leader is heard
-(4.2.3), leadership transfer (3.10), one membership change at a time with learners first (4.1, 4.2.1), read
+and Ongaro's dissertation, 2014: pre-vote and check-quorum (9.6, 6.2), refusing votes while hearing from a
+leader (4.2.3), leadership transfer (3.10), one membership change at a time with learners first (4.1, 4.2.1), read
 index (6.4), pipelining and writing to the leader's disk in parallel (10.2).  `docs/design/replication.md`
-states the guarantees, and the options that were rejected.
+states the guarantees and the rejected alternatives.
 
-The guarantee: what `OperationCompleted` reports for a proposal is on stable storage of a majority and stays
-applied at that place; a completed read has seen all that was acknowledged before it began.  An outcome that
-is not known is `UnknownOutcome`.  After `StorageFailure` this replica answers nothing more, ever.
+Guarantees: once `OperationCompleted` reports the result of a proposal, its entry is on stable storage at a majority
+and stays applied at its index; a completed read sees every write that was acknowledged before the read began.  A
+proposal whose outcome cannot be determined ends with `UnknownOutcome`.  After `StorageFailure` this replica sends no
+further messages.
 
-This module takes events in and dispatches them; the parts of the algorithm are the modules beside it.
+This module dispatches events; the other modules of this package implement the parts of the algorithm.
 """
 
 from __future__ import annotations
@@ -63,20 +64,20 @@
     MembershipChange,
     ReadIndex,
 ):
-    """One replica.  Call `handle` with each event, and with a `Tick` at `due_ms` at the latest."""
+    """One replica.  Call `handle` with each event, and with a `Tick` no later than `due_ms`."""
 
     # Queries
 
     @property
     def is_up_to_date(self) -> bool:
-        """Whether it has applied all that its leader last reported as committed."""
-        follows = bool(self.leader_id)
-        return self.leading or (follows and self._leader_commit <= self.commit_index == self.last_applied)
+        """Whether it has applied all entries up to the leader's commit index, as last reported."""
+        has_leader = bool(self.leader_id)
+        return self.leading or (has_leader and self._leader_commit <= self.commit_index == self.last_applied)
 
     @property
     def is_removed(self) -> bool:
-        """Whether a committed configuration lacks this member, after one that had it (known since the
-        start)."""
+        """Whether the committed configuration lacks this member and an earlier one, committed since this process
+        started, contained it."""
         config = self._log.config_at(self.commit_index)
         return (
             self._was_member
@@ -86,14 +87,13 @@
         )
 
     def lagging_learners(self) -> tuple[MemberId, ...]:
-        """Learners that have not caught up; known at the leader only."""
+        """Learners that have not caught up; empty unless this replica leads."""
         if not self.leading:
             return ()
         return tuple(member for member in self.config.learners if not self._has_caught_up(member))
 
     def lagging_voters(self) -> tuple[MemberId, ...]:
-        """Voters that have not caught up; known at the leader only.  Each is that for a moment now and
-        then."""
+        """Voters that have not caught up; empty unless this replica leads.  A healthy voter may lag for a moment."""
         if not self.leading:
             return ()
         return tuple(member for member in self._other_voters() if not self._has_caught_up(member))
@@ -121,7 +121,7 @@
     # Events
 
     def handle(self, now_ms: float, event: ReplicaEvent) -> list[Effect]:
-        """Take an event in; returns what has to be done, in order."""
+        """Handle an event; returns the effects to carry out, in order."""
         effects: list[Effect] = []
         self._effects = effects
         if self.stop_reason is not None:
@@ -135,9 +135,9 @@
         return effects
 
     def discard(self) -> list[Effect]:
-        """This member keeps no replica any more: its log goes, and it answers nothing from here on.
+        """Delete this replica's log and stop the replica for good.
 
-        Term and vote stay: added again under the same id, it must not vote a second time in a term.
+        Term and vote are kept, because a member that is added again under the same id must not vote twice in a term.
         """
         effects: list[Effect] = []
         self._effects = effects
@@ -148,10 +148,10 @@
         return effects
 
     def _check_quorum(self, now_ms: float) -> None:
-        """Step down where no majority was heard within an election time.
+        """Step down if no majority has replied within `Timings.election_ms`.
 
-        This comes before any event: a process that stood still must not go on as the leader, nor count
-        messages that waited for it as just said.
+        This runs before each event: a process that was frozen must not continue as the leader, nor take messages
+        that were queued meanwhile for fresh replies.
         """
         if self.role is not Role.LEADER or now_ms <= self._quorum_until_ms:
             return
@@ -212,10 +212,10 @@
             self._count_vote(now_ms, self.member_id)
 
     def _handle_storage_failure(self, now_ms: float, error: ClusterError) -> None:
-        """Stop; a leader whose disk failed lets its best follower stand, so that the group need not wait for
-        an election timeout.
+        """Stop; a leader whose disk failed first makes its most up-to-date follower start an election, so that the
+        group need not wait for an election timeout.
 
-        A broken invariant arrives here as well and is reported as one, as the disk needs no attention then.
+        `error` may also be a broken invariant; it is logged as such, because the disk is not at fault then.
         """
         if self.role is Role.LEADER and isinstance(error, StorageFailed):
             successor = self._most_up_to_date_voter(now_ms)
@@ -224,7 +224,7 @@
         self._stop(error)
 
     def _stop(self, error: ClusterError) -> None:
-        """Answer nothing from here on, for this reason."""
+        """Stop this replica for good; later operations fail with `error`."""
         if self.stop_reason is not None:
             return
         if self.role is Role.LEADER:
--- a/badgeryoke/cluster/raft/read_index.py
+++ b/badgeryoke/cluster/raft/read_index.py
@@ -1,8 +1,8 @@
 """Linearizable reads without log entries: read index (dissertation, 6.4).
 
-A read waits for a heartbeat round that begins after it came in.  Once a majority has replied to that round,
-this member was the leader when the read came in, and what was committed then has been applied.  Reads that
-come while a round is out share the next one.
+A read waits for a heartbeat round that starts after the read arrived.  A majority of replies to that round proves
+that this member was the leader when the read arrived, and every entry committed by then has been applied.  Reads that
+arrive while a round is in progress share the next round.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ReadIndex(Persistence):
-    """The leader's reads."""
+    """Linearizable reads at the leader."""
 
     def _handle_read(self, now_ms: float, token: str) -> None:
         error = self._rejection(len(self._round_reads) + len(self._waiting_reads))
@@ -23,7 +23,7 @@
             self._send_heartbeat_round(now_ms)
 
     def _complete_reads(self, now_ms: float) -> None:
-        """End the reads whose round a majority has confirmed, and start a round for those that wait."""
+        """Complete the reads whose round a majority has confirmed, and start a round for the waiting ones."""
         if not self._round_reads and not self._waiting_reads:
             return
         confirmed_round = self._reached_by_quorum(
--- a/badgeryoke/cluster/raft/snapshot_transfer.py
+++ b/badgeryoke/cluster/raft/snapshot_transfer.py
@@ -1,4 +1,4 @@
-"""Snapshots: compaction of the log, and InstallSnapshot in chunks both ways (paper, 7; dissertation, 5)."""
+"""Snapshots: log compaction, and sending and receiving InstallSnapshot chunks (paper, 7; dissertation, 5)."""
 
 from __future__ import annotations
 
@@ -8,20 +8,19 @@
 from badgeryoke.cluster.raft.persistence import Persistence
 from badgeryoke.cluster.raft.state_types import FollowerProgress, IncomingSnapshot, SnapshotSource
 
-MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024  # a longer one is rejected
+MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024  # a follower rejects a larger snapshot
 
 
 class SnapshotTransfer(Persistence):
-    """Snapshots made here, sent to a member that is too far behind, and received from a leader."""
+    """Takes snapshots, sends them to members that are too far behind, and installs those of the leader."""
 
     def _compact_log(self) -> None:
-        """Replace the applied entries by a snapshot.
+        """Take a snapshot of the applied entries and compact the log.
 
-        The last `snapshot_entries` entries stay in memory, so that a member that is a little behind needs no
-        snapshot.
+        The last `snapshot_entries` entries stay in memory, so that a member that lags slightly needs no snapshot.
         """
         config = self._log.config_at(self.last_applied)
-        assert config is not None  # an entry was applied, so a configuration is known
+        assert config is not None  # an applied entry implies a known configuration
         term = self._log.term_at(self.last_applied)
         self._latest_snapshot = Snapshot(self.last_applied, term, config, self._state_machine.dump())
         self._records.append(self._latest_snapshot)
@@ -32,13 +31,13 @@
     # The leader's side
 
     def _send_snapshot_chunk(self, member: MemberId, progress: FollowerProgress) -> None:
-        """Send the next chunk; one at a time is on its way to a member."""
+        """Send the next chunk; at most one chunk per member is in flight."""
         if progress.awaiting_reply:
             return
         if progress.snapshot is None:
             progress.snapshot, progress.received_bytes = self._latest_snapshot, 0
         snapshot, offset = progress.snapshot, progress.received_bytes
-        assert snapshot is not None  # a leader has a configuration, and so a snapshot
+        assert snapshot is not None  # a leader has a configuration, and therefore a snapshot
         progress.awaiting_reply = True
         chunk = InstallSnapshotChunk(
             self.group,
@@ -66,9 +65,10 @@
 
     @staticmethod
     def _is_chunk_progress(progress: FollowerProgress, reply: InstallSnapshotChunkReply) -> bool:
-        """Whether a reply asks for another chunk than the one sent last.
+        """Whether a reply requests a chunk other than the one sent last.
 
-        The same offset again is a duplicate of a reply: a chunk for each would double them for good.
+        A reply with the same offset is a duplicate.  Sending a chunk for each duplicate would double every later
+        chunk as well.
         """
         snapshot = progress.snapshot
         if snapshot is None or snapshot.last_included_index != reply.last_included_index:
@@ -101,7 +101,7 @@
         self._acknowledge(leader, chunk.last_included_index, chunk.heartbeat_round)
 
     def _store_chunk(self, leader: MemberId, chunk: InstallSnapshotChunk) -> bytearray:
-        """What has been received of the chunk's snapshot, with the chunk where it continues that."""
+        """Append a chunk if it follows on from the received data; returns all data received of its snapshot."""
         source = SnapshotSource(
             leader, chunk.last_included_index, chunk.last_included_term, chunk.total_bytes
         )
@@ -113,15 +113,17 @@
         return data
 
     def _install_snapshot(self, now_ms: float, snapshot: Snapshot) -> None:
-        """Replace the log up to the snapshot; later entries stay where the log holds the very entry that the
-        snapshot ends with."""
+        """Replace the log up to the snapshot's last entry.
+
+        Later entries are kept only if the log contains that last entry with the same term.
+        """
         log, index = self._log, snapshot.last_included_index
         continues = log.config is not None and log.last_index > index
         if continues and log.term_at(index) == snapshot.last_included_term:
             log.compact_up_to(index)
         else:
             self._invalidate_persisted(self.commit_index)
-            self._withheld_messages.clear()  # they count as lost; the next reply acknowledges more
+            self._withheld_messages.clear()  # dropped, as if lost; the next reply acknowledges a higher index
             self._log = RaftLog(index, snapshot.last_included_term, snapshot.config)
         self._state_machine.restore(now_ms, snapshot.body)
         self._latest_snapshot = snapshot
--- a/badgeryoke/cluster/raft/state_types.py
+++ b/badgeryoke/cluster/raft/state_types.py
@@ -1,4 +1,4 @@
-"""The types that the parts of a replica share: its role, its messages, and what it keeps of other members."""
+"""The types that the parts of a replica share: its role, its messages, and the progress of other members."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Role(Enum):
-    """The role of a replica in its term; the value is its word in `RaftNode.status`."""
+    """The role of a replica in its term; `RaftNode.status` reports the value."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre"
@@ -41,51 +41,55 @@
 
 
 class ReplicatedStateMachine(Protocol):
-    """What the log is applied to: the same at every replica, by the entries alone."""
+    """The state machine that the log is applied to; its state depends on the entries alone."""
 
     def apply(self, now: float, index: int, body: bytes) -> Any:  # each state machine has its own result type
-        """Apply a committed command.  `now` may not decide anything that is kept."""
+        """Apply a committed command.  The state must not depend on `now`, which is this replica's own clock (ms)."""
 
     def dump(self) -> bytes:
         """The complete state, as the body of a snapshot."""
 
     def restore(self, now: float, body: bytes) -> None:
-        """Replace the complete state by one from `dump`."""
+        """Replace the complete state by one that `dump` returned."""
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What a leader knows of another member's log.
+    """What a leader knows about another member's log.
 
-    `probing`: one append at a time is sent until one matches; afterwards appends are pipelined (dissertation,
-    10.2.1).
+    `probing`: the leader sends one append at a time until one matches, and pipelines appends afterwards
+    (dissertation, 10.2.1).
     """
 
-    next_index: int  # of the next entry to send
+    next_index: int  # index of the next entry to send
     last_reply_ms: float
-    match_index: int = 0  # persisted by the member up to here, the same as in the leader's log
-    replied_round: int = 0  # the latest heartbeat round that it replied to
-    catch_up_index: float = math.inf  # the commit index at the last heartbeat
+    match_index: int = 0  # up to here the member has persisted the leader's entries
+    replied_round: int = 0  # the latest heartbeat round that the member replied to
+    catch_up_index: float = math.inf  # the leader's commit index at the last heartbeat
     probing: bool = True
-    awaiting_reply: bool = False  # to the probe, or to a chunk of a snapshot
-    in_flight: deque[int] = field(default_factory=deque)  # last index of each append without a reply
-    snapshot: Snapshot | None = None  # being sent
-    received_bytes: int = 0  # of the snapshot being sent
-    entries_lost_round: float | None = None  # of its first rejection below `match_index`
+    awaiting_reply: bool = False  # whether a probe or a snapshot chunk is unanswered
+    in_flight: deque[int] = field(default_factory=deque)  # the last index of each unanswered append
+    snapshot: Snapshot | None = None  # the snapshot that is being sent
+    received_bytes: int = 0  # how much of that snapshot the member has received
+    entries_lost_round: float | None = (
+        None  # heartbeat round of the first rejection at or below `match_index`
+    )
 
     def probe_from(self, next_index: int) -> None:
-        """Send one append at a time again, from an index on."""
+        """Start probing again, from an index on."""
         self.next_index, self.probing, self.awaiting_reply = next_index, True, False
 
     def has_caught_up(self) -> bool:
-        """Whether it has persisted all that was committed at the last heartbeat."""
+        """Whether the member has persisted all entries that were committed at the last heartbeat."""
         return self.match_index >= self.catch_up_index
 
 
 @dataclass(frozen=True, slots=True)
 class SnapshotSource:
-    """Which snapshot is being received.  It continues only from the same leader, as the bytes of another
-    leader's snapshot may differ."""
+    """Identifies the snapshot that is being received.
+
+    A transfer continues only from the same leader, as the bytes of another leader's snapshot may differ.
+    """
 
     leader: MemberId
     last_included_index: int
@@ -103,7 +107,7 @@
 
 @dataclass(slots=True)
 class OpenWrite:
-    """A write to stable storage without its answer, and what is persisted once it is answered."""
+    """An unconfirmed write to stable storage, and what is persisted once it is confirmed."""
 
     sequence: int
     last_index: int
@@ -130,8 +134,8 @@
 
 @dataclass(slots=True)
 class PendingTransfer:
-    """A transfer of leadership under way at the leader (dissertation, 3.10)."""
+    """A leadership transfer in progress at the leader (dissertation, 3.10)."""
 
     target: MemberId
     deadline_ms: float
-    notified: bool = False  # whether TimeoutNow was sent; it is sent again at each heartbeat
+    notified: bool = False  # whether TimeoutNow was sent; it is resent at each heartbeat
--- a/badgeryoke/cluster/raft/status.py
+++ b/badgeryoke/cluster/raft/status.py
@@ -1,4 +1,4 @@
-"""What a replica reports of itself, for operators.  The keys are part of the admin interface."""
+"""The status of a replica, for operators.  The keys are part of the admin interface."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FollowerStatus(TypedDict):
-    """What a leader reports of another member, for operators."""
+    """What a leader reports about another member."""
 
     match: int
     heard_ms: float
@@ -17,7 +17,7 @@
 
 
 class ReplicaStatus(TypedDict):
-    """What a replica reports of itself, for operators."""
+    """What a replica reports about itself."""
 
     group: str
     role: str
@@ -35,7 +35,7 @@
 
 
 def follower_status(now_ms: float, progress: FollowerProgress) -> FollowerStatus:
-    """What a leader reports of a member."""
+    """The status entry of one member at its leader."""
     return {
         "match": progress.match_index,
         "heard_ms": now_ms - progress.last_reply_ms,
