--- a/badgeryoke/cluster/membership/__init__.py
+++ b/badgeryoke/cluster/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Failure detection and dissemination of membership by gossip (SWIM with Lifeguard)."""
+"""Cluster membership: failure detection and dissemination by gossip (SWIM with Lifeguard)."""
--- a/badgeryoke/cluster/membership/dissemination.py
+++ b/badgeryoke/cluster/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""SWIM's dissemination: updates travel on pings and their answers, those sent least often first."""
+"""SWIM's dissemination: membership updates are piggybacked on its messages, the least often sent ones first."""
 
 from __future__ import annotations
 
@@ -10,58 +10,60 @@
 from badgeryoke.cluster.messages import GossipUpdate, MemberId, member_name
 
 MAX_UPDATES_PER_MESSAGE = 16
-RETRANSMIT_MULTIPLE = 3  # SWIM's lambda: an update is sent this many times the log of the members
+RETRANSMIT_MULTIPLE = 3  # SWIM's lambda: an update is sent this many times the logarithm of the member count
 
 
 @dataclass(slots=True)
 class _PendingUpdate:
-    """An update that is still passed on, and how often it was sent."""
+    """An update that is still being sent, and how often it has been sent."""
 
     update: GossipUpdate
     send_count: int = 0
 
 
 class GossipQueue:
-    """Updates that this member still passes on, bounded by the members and by who suspects them."""
+    """The updates that this member still sends: at most one for each member and each member that suspects it."""
 
     def __init__(self, table: MemberTable) -> None:
         self._table = table
-        # By the member's name and, of a suspicion, by who suspects it.
+        # The key is the member's name and, for a suspicion, the id of the member that suspects it.
         self._pending: dict[tuple[str, MemberId], _PendingUpdate] = {}
 
     def add(self, update: GossipUpdate) -> None:
-        """Pass an update on, as if it were new; one of a name without an incarnation says nothing."""
+        """Queue an update with its send count reset; an update of a name with unknown incarnation is dropped."""
         if id_is_known(update.who):
-            suspecting = update.by if update.state == MemberState.SUSPECTED else ""
-            self._pending[member_name(update.who), suspecting] = _PendingUpdate(update)
+            suspected_by = update.by if update.state == MemberState.SUSPECTED else ""
+            self._pending[member_name(update.who), suspected_by] = _PendingUpdate(update)
 
     def add_local_state(self) -> None:
-        """Pass this member's own state on, anew."""
+        """Queue this member's own state, with its send count reset."""
         local = self._table.local
         state = MemberState.LEFT if local.has_left else MemberState.ALIVE
         self.add(GossipUpdate(local.id, state, local.incarnation_number))
 
     def discard(self, name: str) -> None:
-        """Pass on nothing more that was queued of a member."""
+        """Remove the queued updates about a member."""
         for key in [key for key in self._pending if key[0] == name]:
             del self._pending[key]
 
-    def take(self, recipient_name: str) -> tuple[GossipUpdate, ...]:
-        """The updates that go with a message.
+    def take_updates(self, recipient_name: str) -> tuple[GossipUpdate, ...]:
+        """The updates to send along with a message; counts them as sent.
 
-        The first is what the recipient itself is believed to be, unless alive, so that it can refute
+        If the recipient itself is not recorded as alive, its own record comes first, so that it can refute it
         (Lifeguard's buddy system).
         """
-        first: list[GossipUpdate] = []
+        about_recipient: list[GossipUpdate] = []
         recipient = self._table.get(recipient_name)
         if recipient is not None and recipient.state != MemberState.ALIVE and recipient.is_known:
-            first.append(recipient.gossip_update(self._table.local.id))
+            about_recipient.append(recipient.gossip_update(self._table.local.id))
         max_sends = math.ceil(RETRANSMIT_MULTIPLE * math.log(len(self._table) + 2))
         chosen = nsmallest(
-            MAX_UPDATES_PER_MESSAGE - len(first), self._pending.items(), key=lambda item: item[1].send_count
+            MAX_UPDATES_PER_MESSAGE - len(about_recipient),
+            self._pending.items(),
+            key=lambda item: item[1].send_count,
         )
         for key, pending in chosen:
             pending.send_count += 1
             if pending.send_count >= max_sends:
                 del self._pending[key]
-        return (*first, *(pending.update for _, pending in chosen))
+        return (*about_recipient, *(pending.update for _, pending in chosen))
--- a/badgeryoke/cluster/membership/member_table.py
+++ b/badgeryoke/cluster/membership/member_table.py
@@ -1,6 +1,6 @@
-"""What this member believes of every listed name: its present id, its state and its earlier ids.
+"""This member's view of every listed name: its current id, its state and its past ids.
 
-A plain table.  `update_rules` decides which news changes it, `failure_detector` reads it.
+The table only stores; `update_rules` decides which updates change it, and `failure_detector` reads it.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from badgeryoke.cluster.messages import GossipUpdate, MemberId, member_name
 from badgeryoke.cluster.node_setup import Member
 
-LEFT_GRACE_MULTIPLE = 10.0  # times `repair_after_ms`: a member that left counts as dead after so long
+LEFT_GRACE_MULTIPLE = 10.0  # times `repair_after_ms`: after so long a member that left counts as dead
 
 
 class MemberState(IntEnum):
-    """SWIM's states, with their numbers in `GossipUpdate.state`."""
+    """SWIM's member states, with their numbers in `GossipUpdate.state`."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -35,7 +35,7 @@
 
 
 class MemberStatus(StrEnum):
-    """What is known of a name or an id: a state, or that the id is not its name's present one."""
+    """The status of a name or an id: a state, superseded (no longer its name's current id), or unknown."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -46,23 +46,23 @@
 
 
 def id_is_known(member_id: MemberId) -> bool:
-    """Whether this is a complete id; "name/" stands for a name whose incarnation was never heard of."""
+    """Whether this is a complete id; "name/" stands for a name whose incarnation is unknown."""
     return not member_id.endswith("/")
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """One name, as believed."""
+    """This member's view of one name."""
 
     name: str
     zone: str
     id: MemberId  # "name/" while the incarnation is unknown
     state: MemberState = MemberState.ALIVE
-    incarnation_number: int = 0  # SWIM's: the member itself raises it to refute a suspicion
+    incarnation_number: int = 0  # SWIM's: only the member itself raises it, to refute a suspicion
     state_since_ms: float = 0.0
-    suspected_by: dict[MemberId, None] = field(default_factory=dict)  # in the order of their suspicions
-    round_trip_ms: float = 0.0  # recent maximum, which decays
-    past_ids: dict[MemberId, float] = field(default_factory=dict)  # superseded ids, and since when
+    suspected_by: dict[MemberId, None] = field(default_factory=dict)  # ids, in the order of their suspicions
+    round_trip_ms: float = 0.0  # recent maximum, decaying with each Ack
+    past_ids: dict[MemberId, float] = field(default_factory=dict)  # when each superseded id was superseded
 
     @property
     def is_known(self) -> bool:
@@ -70,7 +70,7 @@
         return id_is_known(self.id)
 
     def gossip_update(self, reporter: MemberId) -> GossipUpdate:
-        """What is believed of it, in the name of whoever suspected it first, else of `reporter`."""
+        """This view as an update, attributed to the member that suspected it first, or else to `reporter`."""
         return GossipUpdate(
             self.id, self.state, self.incarnation_number, next(iter(self.suspected_by), reporter)
         )
@@ -87,12 +87,12 @@
 
     @property
     def name(self) -> str:
-        """Its name on the operators' list."""
+        """Its name in the operators' list."""
         return member_name(self.id)
 
 
 class MemberTable:
-    """The records of all other members, in the order of the operators' list, and this member's own."""
+    """The records of all other members, in the order of the operators' list, and the local member."""
 
     def __init__(self, local: LocalMember, members: Iterable[Member], now: float) -> None:
         self.local = local
@@ -101,7 +101,7 @@
             for member in members
             if member.name != local.name
         }
-        self.suspected_names: dict[str, None] = {}  # in the order in which they came under suspicion
+        self.suspected_names: dict[str, None] = {}  # in the order in which they became suspected
 
     def __contains__(self, name: str) -> bool:
         return name in self._records
@@ -116,7 +116,7 @@
         return len(self._records)
 
     def get(self, name: str) -> MemberRecord | None:
-        """The record of another member's name; None for a name that is not listed."""
+        """The record of another member's name; None if the name is not listed."""
         return self._records.get(name)
 
     def names(self) -> list[str]:
@@ -124,31 +124,31 @@
         return list(self._records)
 
     def running_count(self) -> int:
-        """Members that count as running, this one included."""
+        """How many members count as running, this one included."""
         return 1 + sum(record.state.is_running for record in self)
 
     def alive_ids(self) -> frozenset[MemberId]:
-        """Ids that are alive or merely suspected; this member's own unless it has left."""
-        found = [record.id for record in self if record.is_known and record.state.is_running]
-        return frozenset(found if self.local.has_left else [*found, self.local.id])
+        """Ids that are alive or suspected, with this member's own id unless it has left."""
+        running_ids = [record.id for record in self if record.is_known and record.state.is_running]
+        return frozenset(running_ids if self.local.has_left else [*running_ids, self.local.id])
 
     def dead_for_ms(self, now: float, left_grace_ms: float) -> dict[MemberId, float]:
-        """For how long each id has been believed dead; "name/" where the incarnation was never known.
+        """For how long (ms) each id has been considered dead; "name/" stands for a name with unknown incarnation.
 
-        One that left on purpose counts as dead only `left_grace_ms` later: a restart is no loss.
+        A member that left on purpose counts as dead only `left_grace_ms` later, so that a restart is not a loss.
         """
-        found: dict[MemberId, float] = {}
+        dead_for: dict[MemberId, float] = {}
         for record in self:
             for past_id, since in record.past_ids.items():
-                found[past_id] = now - since
+                dead_for[past_id] = now - since
             if record.state == MemberState.DEAD:
-                found[record.id] = now - record.state_since_ms
+                dead_for[record.id] = now - record.state_since_ms
             elif record.state == MemberState.LEFT and now - record.state_since_ms >= left_grace_ms:
-                found[record.id] = now - record.state_since_ms - left_grace_ms
-        return found
+                dead_for[record.id] = now - record.state_since_ms - left_grace_ms
+        return dead_for
 
     def status_of(self, name_or_id: str) -> MemberStatus:
-        """What is known of a name, or of one id."""
+        """The status of a name, or of one id."""
         name = member_name(name_or_id)
         if name == self.local.name:
             if name_or_id not in (self.local.id, name):
@@ -162,7 +162,7 @@
         return MemberStatus(record.state.label)
 
     def ids(self) -> dict[str, MemberId]:
-        """The id of each name as last known; "name/" where none is."""
+        """The last known id of each name; "name/" if its incarnation is unknown."""
         return {self.local.name: self.local.id, **{record.name: record.id for record in self}}
 
     def zones(self) -> dict[str, str]:
@@ -170,14 +170,14 @@
         return {self.local.name: self.local.zone, **{record.name: record.zone for record in self}}
 
     def learn_ids(self, ids: Iterable[MemberId]) -> None:
-        """Take ids over for names whose incarnation is not known yet."""
+        """Set the ids of names whose incarnation is still unknown."""
         for member_id in ids:
             record = self.get(member_name(member_id))
             if record is not None and not record.is_known:
                 record.id = member_id
 
     def restart_clocks(self, now: float, missed_ms: float) -> None:
-        """After this process was frozen: suspicions begin anew, and what is over is as long over as before."""
+        """Restart suspicions after this process was frozen, and shift the times of past events by `missed_ms`."""
         for record in self:
             if record.state == MemberState.SUSPECTED:
                 record.state_since_ms = now
--- a/badgeryoke/cluster/membership/protocol.py
+++ b/badgeryoke/cluster/membership/protocol.py
@@ -1,27 +1,27 @@
-"""Which members of the cluster run, as one member believes it: SWIM with Lifeguard's local health.
+"""Which members of the cluster are running, in the view of one member: SWIM with Lifeguard's local health.
 
-An opinion, never a decision: what must not be decided twice goes through a group's log.
+This view may be wrong and may differ between members; decisions that must be unique go through a group's log.
 
 Sources: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
-Protocol" (DSN 2002): one ping a protocol period in a shuffled round, indirect pings, suspicion with incarnation
-numbers, updates carried by pings.  Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More
+Protocol" (DSN 2002): one ping per protocol period in shuffled order, indirect pings, suspicion with incarnation
+numbers, updates piggybacked on pings.  Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More
 Accurate Failure Detection" (DSN-W 2018): the local health multiplier, Nack, a suspicion timeout that shortens with
-independent confirmations, and the suspect notified first.
-
-Where this differs, and why:
-
-- The list of names is the operators' file, so that nobody joins by gossip, and dead members are pinged now and then:
-  the two sides of a healed partition find each other again.
-- A name has one id at a time.  A new id of a known name supersedes the old one, which is dead for good.  Which of two
-  is newer cannot be read off them: an answer to a ping of our own is proof, gossip of an id never seen is believed
-  until then.
-- The round trip is measured for each name, and over all: slow links get longer timeouts.
-- A process that was frozen cannot know what its own timers mean: it shifts them by the time that it missed, and begins
-  every suspicion anew.
-
-Cost: a member sends, whatever the size of the cluster, one Ping and on average one Ack in a period, and one more Ping
-in two periods while a member is dead; a ping that fails costs at most 2 x `INDIRECT_PING_PROXIES` messages more at
-its sender and at the proxies each.  `docs/design/membership.md` has the times in which dead members are found.
+independent confirmations, and notifying the suspected member first.
+
+Differences from these papers, with their reasons:
+
+- The list of names is the operators' file, so members do not join by gossip.  Dead members are still pinged from time
+  to time, so that the two sides of a partition find each other again once it heals.
+- A name has one id at a time.  A new id of a name supersedes the old one for good.  The ids do not show which of them
+  is newer: an Ack for this member's own ping proves that an id is running; until then, gossip about an id that was
+  never seen is accepted.
+- The round trip is measured for each name and averaged over all, so that slow links get longer timeouts.
+- After a freeze, a process cannot rely on its own timers: it shifts them by the time that it missed, and restarts
+  every suspicion.
+
+Cost, for any size of the cluster: a member sends one Ping and on average one Ack in a protocol period, and one more
+Ping every second period while a member is dead.  A ping that fails costs at most 2 x `INDIRECT_PING_PROXIES` more
+messages at its sender and as many at the proxies.  `docs/design/membership.md` has the detection times.
 """
 
 from __future__ import annotations
@@ -47,13 +47,14 @@
 from badgeryoke.cluster.node_setup import Member
 from badgeryoke.cluster.timings import Timings
 
-FREEZE_FRACTION = 0.5  # of the ping timeout: a Tick that is later than this counts as a freeze
+FREEZE_FRACTION = 0.5  # of the ping timeout; an event later than this after `due` counts as a freeze
 
 
 class Membership:
-    """One member's view.
+    """One member's view of the cluster.
 
-    `due` is when the next Tick has to come, by the clock of `now` (ms); a much later one counts as a freeze.
+    Times are in milliseconds on a monotonic clock.  `due` is the latest time for the next Tick; a much later event
+    counts as a freeze of this process.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         zone: str,
         members: Iterable[Member],
         timings: Timings,
-        draw: Random,
+        rng: Random,
         now: float,
     ) -> None:
         self.local = LocalMember(member_id, zone)
@@ -72,27 +73,27 @@
         self._gossip = GossipQueue(self._table)
         self._rules = UpdateRules(self._table, self._gossip, self.local_health)
         self._detector = FailureDetector(
-            self._table, self._gossip, self._rules, self.local_health, timings, draw, now
+            self._table, self._gossip, self._rules, self.local_health, timings, rng, now
         )
         self._gossip.add_local_state()
         self.due = self._detector.next_period_at
 
-    # What is believed
+    # Queries
 
     def alive_ids(self) -> frozenset[MemberId]:
-        """Ids that are alive or merely suspected, this one with them."""
+        """Ids that are alive or suspected, with this member's own id unless it has left."""
         return self._table.alive_ids()
 
     def dead_for_ms(self, now: float) -> dict[MemberId, float]:
-        """For how long each id has been believed dead; "name/" where the incarnation was never known."""
+        """For how long (ms) each id has been considered dead; "name/" stands for a name with unknown incarnation."""
         return self._table.dead_for_ms(now, LEFT_GRACE_MULTIPLE * self._timings.repair_after_ms)
 
     def state_of(self, name_or_id: str) -> MemberStatus:
-        """What is believed of a name, or of one id."""
+        """The status of a name, or of one id."""
         return self._table.status_of(name_or_id)
 
     def ids(self) -> dict[str, MemberId]:
-        """The id of each name as last known; "name/" where none is."""
+        """The last known id of each name; "name/" if its incarnation is unknown."""
         return self._table.ids()
 
     def zones(self) -> dict[str, str]:
@@ -100,13 +101,13 @@
         return self._table.zones()
 
     def learn_ids(self, ids: Iterable[MemberId]) -> None:
-        """Take over ids from the bootstrap record or the log for names without one; beliefs stay as they are."""
+        """Set the ids of names with unknown incarnation, from the bootstrap record or the log; states do not change."""
         self._table.learn_ids(ids)
 
-    # What happens
+    # Events
 
     def handle(self, now: float, event: Tick | MessageReceived) -> Effects:
-        """Take an event in; gives the messages to send and the events to log, in order."""
+        """Handle an event; returns the messages to send and the events to log, in order."""
         effects: Effects = []
         late_ms = now - self.due
         if late_ms > self._timings.probe_timeout_ms * FREEZE_FRACTION:
@@ -118,7 +119,7 @@
         return effects
 
     def leave(self) -> Effects:
-        """This process ends on purpose: a few members are notified, and pass it on."""
+        """Announce a graceful shutdown to a few members, which pass it on."""
         if self.local.has_left:
             return []
         self.local.has_left = True
@@ -131,7 +132,7 @@
         return effects
 
     def _recover_from_freeze(self, now: float, missed_ms: float) -> None:
-        """What was timed meanwhile says something of this process, not of the others."""
+        """Reset the timers: timeouts that passed during a freeze prove nothing about other members."""
         self.local_health.degrade()
         self._detector.restart(now)
         self._table.restart_clocks(now, missed_ms)
@@ -141,7 +142,7 @@
         if isinstance(message, Ack):
             self._receive_ack(now, sender, message, effects)
         elif sender != record.id and not self._rules.supersede(now, record, sender, effects):
-            return  # a process that is over; an answer to a ping of our own would prove otherwise
+            return  # a superseded id; only an Ack for this member's own ping could prove that it is running
         match message:
             case Ping():
                 self._apply_gossip(now, message.gossip, effects)
@@ -161,9 +162,9 @@
             self._rules.apply(now, update, effects)
 
     def _answer_ping(self, sender: MemberId, ping: Ping, effects: Effects) -> None:
-        """A ping meant for an earlier id of this name is answered in the name of the present one."""
+        """Reply with the current id, also to a ping that was addressed to an earlier id of this name."""
         if not self.local.has_left and member_name(ping.target) == self.local.name:
-            ack = Ack(ping.seq, self.local.id, self._gossip.take(member_name(sender)))
+            ack = Ack(ping.seq, self.local.id, self._gossip.take_updates(member_name(sender)))
             effects.append(SendMessage(sender, ack))
 
     def _receive_ack(self, now: float, sender: MemberId, ack: Ack, effects: Effects) -> None:
@@ -172,15 +173,16 @@
             self._note_alive(now, record, ack.target, effects)
 
     def _note_alive(self, now: float, record: MemberRecord, member_id: MemberId, effects: Effects) -> None:
-        """An answer proves that this id runs now, whatever is believed of it."""
+        """Update a record after an Ack, which proves that this id is running, whatever its recorded state."""
         if member_id != record.id:
             record.past_ids.pop(member_id, None)
             self._rules.supersede(now, record, member_id, effects)
             return
         match record.state:
             case MemberState.SUSPECTED:
-                record.state_since_ms = now  # it is dead only when it answers nothing for the whole timeout
+                record.state_since_ms = now  # it counts as dead only after a complete timeout without an Ack
             case MemberState.DEAD | MemberState.LEFT:
-                self._gossip.add(record.gossip_update(self.local.id))  # so that it hears of it and refutes
+                # The member receives its recorded state by gossip and refutes it.
+                self._gossip.add(record.gossip_update(self.local.id))
             case MemberState.ALIVE:
                 pass
--- a/badgeryoke/cluster/membership/update_rules.py
+++ b/badgeryoke/cluster/membership/update_rules.py
@@ -1,4 +1,4 @@
-"""SWIM's rules of which update overrides which belief, and the one place where a member's state changes."""
+"""SWIM's rules for which update overrides a member's recorded state; every state change is made here."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from badgeryoke.cluster.membership.member_table import MemberRecord, MemberState, MemberTable, id_is_known
 from badgeryoke.cluster.messages import GossipUpdate, MemberId, member_name
 
-MAX_CONFIRMATIONS = 3  # independent suspicions after which the suspicion timeout is at its minimum
-MAX_PAST_IDS = 4  # superseded ids remembered of a name
+MAX_CONFIRMATIONS = 3  # independent confirmations at which the suspicion timeout reaches its minimum
+MAX_PAST_IDS = 4  # superseded ids that are kept for each name
 
 Effects = list[SendMessage | LogEvent]
 
 
 class UpdateRules:
-    """Applies gossip, and what the failure detector found, to the table; queues what has to be passed on."""
+    """Applies gossip and the failure detector's results to the table, and queues the updates to send on."""
 
     def __init__(self, table: MemberTable, gossip: GossipQueue, health: LocalHealth) -> None:
         self._table, self._gossip, self._health = table, gossip, health
 
     def apply(self, now: float, update: GossipUpdate, effects: Effects) -> None:
-        """Take in one update from another member; one with a state that is not known is ignored."""
+        """Apply one update from another member; an update with an unknown state is ignored."""
         if not id_is_known(update.who) or not MemberState.ALIVE <= update.state <= MemberState.LEFT:
             return
         name = member_name(update.who)
@@ -34,17 +34,17 @@
         if update.who != record.id and not self._accept_other_id(now, record, update, effects):
             return
         if update.count >= record.incarnation_number:
-            self._apply_to_present_id(now, record, update, effects)
+            self._apply_to_current_id(now, record, update, effects)
 
     def _apply_to_local(self, update: GossipUpdate, effects: Effects) -> None:
-        """What others believe of this member: refute it, or repeat what they have not heard."""
+        """Handle an update about this member: refute it, or resend this member's state if the sender lacks it."""
         local = self._table.local
         if update.who != local.id:
-            self._gossip.add_local_state()  # the sender has heard only of an earlier id
+            self._gossip.add_local_state()  # the sender only has an earlier id
         elif update.state == MemberState.ALIVE:
             return
         elif update.count < local.incarnation_number:
-            self._gossip.add_local_state()  # the refutation was lost on its way there
+            self._gossip.add_local_state()  # the refutation has not reached the sender
         elif not local.has_left:
             local.incarnation_number = update.count + 1
             self._health.degrade()
@@ -55,16 +55,16 @@
     def _accept_other_id(
         self, now: float, record: MemberRecord, update: GossipUpdate, effects: Effects
     ) -> bool:
-        """Whether an update of another id than the present one makes that id the present one."""
+        """Whether an update about an id other than the name's current one makes that id the current one."""
         if update.who in record.past_ids:
             self._gossip.add(record.gossip_update(self._table.local.id))
             return False
         if update.state in (MemberState.DEAD, MemberState.LEFT) and record.is_known:
-            return False  # one that never was here, or is over already
+            return False  # an id never seen here that no longer runs
         self.supersede(now, record, update.who, effects)
         return True
 
-    def _apply_to_present_id(
+    def _apply_to_current_id(
         self, now: float, record: MemberRecord, update: GossipUpdate, effects: Effects
     ) -> None:
         is_newer = update.count > record.incarnation_number
@@ -82,7 +82,7 @@
             self.change_state(now, record, update, effects)
 
     def report_failed_ping(self, now: float, record: MemberRecord, effects: Effects) -> bool:
-        """This member's own suspicion; gives whether it is the first against a member believed alive."""
+        """Record this member's own suspicion; returns whether the member was recorded as alive before."""
         update = GossipUpdate(
             record.id, MemberState.SUSPECTED, record.incarnation_number, self._table.local.id
         )
@@ -94,18 +94,18 @@
         return False
 
     def report_dead(self, now: float, record: MemberRecord, effects: Effects) -> None:
-        """The suspicion timeout of a member is over."""
+        """Record a member as dead after its suspicion timeout."""
         update = GossipUpdate(record.id, MemberState.DEAD, record.incarnation_number, self._table.local.id)
         self.change_state(now, record, update, effects)
 
     def _confirm_suspicion(self, record: MemberRecord, update: GossipUpdate) -> None:
-        """Count an independent suspicion, and pass it on: it shortens the timeout (Lifeguard)."""
+        """Count an independent suspicion, which shortens the timeout (Lifeguard), and queue it for sending."""
         if update.by not in record.suspected_by and len(record.suspected_by) <= MAX_CONFIRMATIONS:
             record.suspected_by[update.by] = None
             self._gossip.add(update)
 
     def change_state(self, now: float, record: MemberRecord, update: GossipUpdate, effects: Effects) -> None:
-        """The one place where a state changes.  Flapping between alive and suspected is not logged."""
+        """Change a member's state; no other code does.  Changes between alive and suspected are not logged."""
         before, state = record.state, MemberState(update.state)
         record.state = state
         if before != state:
@@ -124,7 +124,7 @@
             effects.append(LogEvent(level, "fleet_member", fields))
 
     def supersede(self, now: float, record: MemberRecord, member_id: MemberId, effects: Effects) -> bool:
-        """Make another id the name's present one; False where that id is over or incomplete."""
+        """Make another id the name's current one; returns False if that id is superseded or incomplete."""
         if member_id in record.past_ids or not id_is_known(member_id):
             return False
         if record.is_known:
