--- a/badgeryoke/cluster/placement/commands.py
+++ b/badgeryoke/cluster/placement/commands.py
@@ -1,6 +1,6 @@
-"""Commands of the cluster's own group that change, or read, which member replicates which group.
+"""Commands of the cluster's own group that change or read which member replicates which group.
 
-Their tags and field names are stored in logs and used in calls of operators, and stay.
+Their tags and field names are stored in logs and used in operators' calls, so they must not change.
 """
 
 from __future__ import annotations
@@ -12,13 +12,12 @@
 
 MAX_NAME_LENGTH = 64
 MAX_VOTERS = 16
-SLOW_LEARNER = (
-    "the newcomer does not catch up"  # `CancelMove.why` after which it is not asked again for a while
-)
+# `CancelMove.why` of a learner that did not catch up; it is not chosen again for a while.
+SLOW_LEARNER_REASON = "the newcomer does not catch up"
 
 
 class EnrolMember(Command, frozen=True, tag="Enrol"):
-    """Makes an id its name's present one; the one before is lost for good."""
+    """Makes an id its name's current one; the id before it is lost for good."""
 
     name: str
     who: MemberId
@@ -35,9 +34,9 @@
 
 
 class ReplaceReplica(Command, frozen=True, tag="Replace"):
-    """Begins a move of one replica: `new` in the place of `lost`; one of them may be empty.
+    """Starts a move of one replica: `new` replaces `lost`; one of them may be empty.
 
-    `most` bounds the moves under way over all groups, this one included.
+    `most` is the upper bound on the moves in progress over all groups, this one included.
     """
 
     group: str
@@ -53,7 +52,7 @@
 
 
 class ReplicaMoved(Command, frozen=True, tag="Moved"):
-    """A group's leader reports its committed voters; ends the move that they complete."""
+    """A group's leader reports its committed voters, which may complete the group's move."""
 
     group: str
     voters: tuple[MemberId, ...]
@@ -67,7 +66,7 @@
 
 
 class CancelMove(Command, frozen=True, tag="Forgo"):
-    """Gives up a move that cannot end; a learner that was added for it is removed again."""
+    """Cancels a move that cannot complete; the learner that was added for it is removed again."""
 
     group: str
     new: MemberId
@@ -80,5 +79,6 @@
     reads = True
 
 
-PlacementCommand = EnrolMember | ReplaceReplica | ReplicaMoved | CancelMove  # those that change it
+# The commands that change the placement.
+PlacementCommand = EnrolMember | ReplaceReplica | ReplicaMoved | CancelMove
 COMMANDS: tuple[type[Command], ...] = (EnrolMember, ReplaceReplica, ReplicaMoved, CancelMove, ReadPlacement)
--- a/badgeryoke/cluster/placement/directory.py
+++ b/badgeryoke/cluster/placement/directory.py
@@ -1,9 +1,8 @@
-"""The placement as a part of the cluster's own state machine: every change is an entry of its log.
+"""The placement as a part of the state machine of the cluster's own group: every change is an entry of its log.
 
-The bootstrap record gives the first placement.  From there on a move of a replica goes through the log:
-`ReplaceReplica` begins it, the group's leader carries it out step by step (`membership_change`) and reports its
-voters with `ReplicaMoved`; `CancelMove` gives up a move that cannot end.  The leader of the cluster's own group
-proposes moves (`repair`).
+The bootstrap record determines the initial placement.  Later changes go through the log: `ReplaceReplica` starts a
+move, the group's leader carries it out step by step (`membership_change`) and reports its voters with `ReplicaMoved`;
+`CancelMove` cancels a move that cannot complete.  The leader of the cluster's own group proposes moves (`repair`).
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from badgeryoke.cluster.messages import GroupConfiguration, MemberId, member_name
 from badgeryoke.cluster.placement import membership_change
 from badgeryoke.cluster.placement.commands import (
-    SLOW_LEARNER,
+    SLOW_LEARNER_REASON,
     CancelMove,
     EnrolMember,
     PlacementCommand,
@@ -33,11 +32,11 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, LeaderView
 from badgeryoke.cluster.timings import Timings
 
-MAX_PAST_IDS = 4  # superseded ids remembered of a name: none of them can come back
+MAX_PAST_IDS = 4  # superseded ids that are kept for each name; none of them can be enrolled again
 
 
 class _Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The stored form: an array of these fields in this order."""
+    """The placement in a snapshot, stored as an array of these fields in this order."""
 
     replication_factor: int
     members: dict[str, tuple[MemberId, str]]
@@ -49,25 +48,25 @@
 
 
 class PlacementDirectory(PlacementState):
-    """The state machine's part for placement.  Empty until `initialize` or `load`."""
+    """The placement part of the state machine.  Empty until `initialize` or `load`."""
 
-    def __init__(self, timings: Timings, rules: Invariants) -> None:
+    def __init__(self, timings: Timings, invariants: Invariants) -> None:
         super().__init__()
-        self._rules = rules
-        self._first_seen = FirstSeen()  # by this machine's own clock, so never in a snapshot
+        self._invariants = invariants
+        self._first_seen = FirstSeen()  # on this machine's own clock, so not part of a snapshot
 
     def initialize(self, record: BootstrapRecord) -> None:
-        """Take the first placement over, before any entry is applied; changes nothing where there is state."""
+        """Set the initial placement, before any entry is applied; does nothing if there already is a placement."""
         if self.groups:
             return
         self.replication_factor = record.replication_factor
         self.members = {member_name(member): EnrolledMember(member, zone) for member, zone in record.members}
         self.groups = {group: GroupPlacement(voters) for group, voters in initial_placement(record).items()}
 
-    # The log
+    # Commands
 
     def apply(self, at_ms: float, command: PlacementCommand) -> ApplyResult:
-        """Apply a command; `at_ms` is the group's own time (Unix ms).  A rejected one changes nothing."""
+        """Apply a command; `at_ms` is the group's own time (Unix ms).  A rejected command changes nothing."""
         problem = command.validate()
         if problem:
             return ApplyResult(error=InvalidCall(command.id, problem))
@@ -78,32 +77,32 @@
             return ApplyResult(error=NotFound(command.group, "no such group"))
         match command:
             case ReplaceReplica():
-                return self._begin_move(at_ms, command, placement)
+                return self._start_move(at_ms, command, placement)
             case ReplicaMoved():
                 return self._record_report(command, placement)
             case CancelMove():
                 return self._cancel_move(command)
 
     def _enrol(self, command: EnrolMember) -> ApplyResult:
-        known = self.members.get(command.name)
+        enrolled = self.members.get(command.name)
         if command.who in self.past_ids.get(command.name, ()):
             return ApplyResult(error=StaleIncarnation(command.who, "a later one is enrolled"))
-        if known is None and len(self.members) >= MAX_MEMBERS:
+        if enrolled is None and len(self.members) >= MAX_MEMBERS:
             return ApplyResult(error=Overloaded(command.who, f"{MAX_MEMBERS} members are enrolled"))
-        if known is not None and known.id != command.who:
-            self._supersede(command.name, known.id)
+        if enrolled is not None and enrolled.id != command.who:
+            self._supersede(command.name, enrolled.id)
         self.members[command.name] = EnrolledMember(command.who, command.zone)
         return ApplyResult("enrolled")
 
     def _supersede(self, name: str, past_id: MemberId) -> None:
-        """An id is lost for good, with the moves that were to bring it into a group."""
+        """Record an id as lost for good, and drop the moves that were to add it to a group."""
         self.slow_learners.pop(past_id, None)
         self.past_ids[name] = [*self.past_ids.get(name, ()), past_id][-MAX_PAST_IDS:]
         for group in [group for group, move in self.moves.items() if move.new == past_id]:
             if past_id not in self.groups[group].voters:
                 del self.moves[group]
 
-    def _begin_move(self, at_ms: float, command: ReplaceReplica, placement: GroupPlacement) -> ApplyResult:
+    def _start_move(self, at_ms: float, command: ReplaceReplica, placement: GroupPlacement) -> ApplyResult:
         group, lost, new = command.group, command.lost, command.new
         if group in self.moves:
             return ApplyResult(error=WrongState(group, "a move is under way"))
@@ -111,13 +110,13 @@
             return ApplyResult(error=Overloaded(group, f"{len(self.moves)} moves are under way"))
         if lost and lost not in placement.voters:
             return ApplyResult(error=NotFound(lost, f"no voter of {group}"))
-        if new and (new in placement.voters or not self.is_present(new)):
+        if new and (new in placement.voters or not self.is_current_id(new)):
             return ApplyResult(error=WrongState(new, f"a voter of {group} already, or not enrolled"))
         if not new and len(placement.voters) <= 1:
             return ApplyResult(error=WrongState(group, "its last voter"))
         self.moves[group] = ReplicaMove(lost, new, at_ms)
         self.move_count += 1
-        self._rules.check(Rule.CONFIG_ONE, len(self.moves) <= command.most, lambda: f"{self.moves}")
+        self._invariants.check(Rule.CONFIG_ONE, len(self.moves) <= command.most, lambda: f"{self.moves}")
         return ApplyResult("begun")
 
     def _record_report(self, command: ReplicaMoved, placement: GroupPlacement) -> ApplyResult:
@@ -136,15 +135,21 @@
         if move is None or move.new != command.new:
             return ApplyResult(error=WrongState(command.group, "no such move is under way"))
         del self.moves[command.group]
-        if command.new and command.why == SLOW_LEARNER:  # one that was lost is as good as any when it is back
+        # Not for a lost member, which may be chosen again as soon as it is back.
+        if command.new and command.why == SLOW_LEARNER_REASON:
             self.slow_learners[command.new] = self.move_count
         return ApplyResult("forgone")
 
     def query(self, command: ReadPlacement) -> ApplyResult:
-        """For operators: groups with voters, moves, and enrolled members; the keys are those of the call."""
+        """The groups with their voters, the moves, and the enrolled members, for operators.
+
+        The keys are part of the operators' interface.
+        """
         return ApplyResult(
             {
-                "members": {name: {"id": one.id, "hall": one.zone} for name, one in self.members.items()},
+                "members": {
+                    name: {"id": member.id, "hall": member.zone} for name, member in self.members.items()
+                },
                 "groups": {
                     group: {"voters": list(placement.voters), "behind": list(placement.lagging)}
                     for group, placement in self.groups.items()
@@ -155,17 +160,17 @@
         )
 
     def seen(self, now: float) -> None:
-        """Note when moves and slow learners were first seen here."""
+        """Record when the current moves and slow learners were first seen here."""
         self._first_seen.update(self, now)
 
     # Snapshots
 
     def dump(self) -> Any:
-        """The stored form, as plain data for a snapshot."""
+        """The placement as plain data, for a snapshot."""
         return msgspec.to_builtins(
             _Snapshot(
                 self.replication_factor,
-                {name: (one.id, one.zone) for name, one in self.members.items()},
+                {name: (member.id, member.zone) for name, member in self.members.items()},
                 self.past_ids,
                 self.groups,
                 self.moves,
@@ -175,7 +180,7 @@
         )
 
     def load(self, raw: Any) -> None:
-        """Replace everything by a snapshot; raises msgspec.ValidationError for anything else."""
+        """Replace the placement by a snapshot; raises msgspec.ValidationError if `raw` is not a valid one."""
         saved = msgspec.convert(raw, _Snapshot)
         self.replication_factor, self.move_count = saved.replication_factor, saved.move_count
         self.members = {name: EnrolledMember(*pair) for name, pair in saved.members.items()}
@@ -183,17 +188,17 @@
         self.groups, self.moves = saved.groups, saved.moves
         self._first_seen = FirstSeen()
 
-    # Leaders
+    # For leaders
 
     def leader_tasks(self, view: LeaderView) -> list[PlacementCommand]:
-        """What the leader of the cluster's own group proposes now."""
+        """The commands that the leader of the cluster's own group proposes now."""
         return RepairPlanner(self, self._first_seen, view).plan()
 
     def next_membership_change(
         self, group: str, config: GroupConfiguration, behind: tuple[MemberId, ...], alive: frozenset[MemberId]
     ) -> ChangeMembership | None:
         """See `membership_change.next_membership_change`."""
-        return membership_change.next_membership_change(self, self._rules, group, config, behind, alive)
+        return membership_change.next_membership_change(self, self._invariants, group, config, behind, alive)
 
     def configuration_report(
         self, group: str, config: GroupConfiguration, config_index: int, behind: tuple[MemberId, ...] = ()
--- a/badgeryoke/cluster/placement/forced_recovery.py
+++ b/badgeryoke/cluster/placement/forced_recovery.py
@@ -1,4 +1,7 @@
-"""The operators' last resort for a group that lost its majority for good: restart it from one replica's log."""
+"""Forced recovery of a group that has lost its majority for good: restarts it from one replica's log.
+
+This is the operators' last resort, as it may lose acknowledged writes.
+"""
 
 from __future__ import annotations
 
@@ -10,20 +13,20 @@
 from badgeryoke.cluster.messages import EntryKind, GroupConfiguration, LogEntry, MemberId
 from badgeryoke.cluster.raft.log import RaftLog, encode_config
 
-FORCED_TERM_INCREMENT = 1 << 20  # no member that was given up can have reached a term so much later
+FORCED_TERM_INCREMENT = 1 << 20  # larger than any lead in terms that an abandoned member can have
 
 
 def force_sole_voter(
     saved: PersistedGroup, group: str, survivor: MemberId, lost: tuple[MemberId, ...], now: float
 ) -> PersistedGroup:
-    """Make the survivor the sole voter of a group, by further entries at the end of its own log.
+    """Make the survivor the sole voter of a group, by appending entries to its own log.
 
-    `lost` has to name all the other voters that stand in this log, which makes the act idempotent: once it is
-    done, or where it is meant for another state, `saved` comes back as it is.  `now` (Unix ms) is written into
-    the log with it.  Raises ValueError for a log whose entries do not follow each other.
+    `lost` must name all other voters in this log's configuration.  This makes the call idempotent: if the recovery is
+    already done, or the configuration is another one, `saved` is returned unchanged.  `now` (Unix ms) is written into
+    the log.  Raises ValueError if the entries of the log do not follow on from each other.
 
-    Writes that the others acknowledged without this one may be lost.  Calls whose outcome was unknown, at the end of
-    this log, are committed.  The members given up must never start again with their old folders.
+    Writes that the lost members acknowledged without the survivor may be lost.  Entries at the end of this log whose
+    outcome was unknown are committed.  The lost members must never start again with their old folders.
     """
     log = RaftLog.load(saved)
     config = log.config
@@ -33,7 +36,7 @@
         return saved
     term, voters = saved.current_term + FORCED_TERM_INCREMENT, config.voters
     entries = [log.entry_at(index) for index in range(log.base_index + 1, log.last_index + 1)]
-    for member in lost:  # one at a time, as every change of members
+    for member in lost:  # one at a time, as in every membership change
         voters = tuple(voter for voter in voters if voter != member)
         body = encode_config(GroupConfiguration(voters))
         entries.append(LogEntry(log.base_index + len(entries) + 1, term, EntryKind.CONFIG, body))
--- a/badgeryoke/cluster/placement/initial_placement.py
+++ b/badgeryoke/cluster/placement/initial_placement.py
@@ -1,4 +1,4 @@
-"""Which members replicate which group when the cluster is bootstrapped."""
+"""The initial placement: which members replicate which group when the cluster is bootstrapped."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 
 def replica_count(replication_factor: int, member_count: int) -> int:
-    """Replicas that a group has: an odd number within both bounds, or two where only two are possible."""
-    most = min(replication_factor, member_count)
-    return most if most % 2 or most == 2 else most - 1
+    """How many replicas a group has: the largest odd number within both bounds, or two if the bound is two."""
+    max_replicas = min(replication_factor, member_count)
+    return max_replicas if max_replicas % 2 or max_replicas == 2 else max_replicas - 1
 
 
 def initial_placement(record: BootstrapRecord) -> dict[str, tuple[MemberId, ...]]:
-    """The first voters of each group, the same on every member.
+    """The initial voters of each group, the same on every member.
 
-    A zone without a replica of the group goes first, then the member with the fewest replicas; rendezvous
-    scores break ties.  Within a zone no member holds over one group more than another that could take it.
+    Members in a zone without a replica of the group are chosen first, then members with the fewest replicas;
+    rendezvous scores break ties.  So within a zone, a member holds at most one replica more than another member that
+    could have taken it.
     """
     load: Counter[MemberId] = Counter()
     groups = (FLEET, *(group_name(index) for index in range(record.group_count)))
@@ -28,13 +29,13 @@
 
 
 def _choose_voters(record: BootstrapRecord, group: str, load: Counter[MemberId]) -> tuple[MemberId, ...]:
-    """The voters of one group; counts them in `load`."""
+    """The voters of one group; counts their replicas in `load`."""
     chosen: list[MemberId] = []
     zones: set[str] = set()
     for _ in range(replica_count(record.replication_factor, len(record.members))):
         member, zone = min(
             ((member, zone) for member, zone in record.members if member not in chosen),
-            key=lambda one: (one[1] in zones, load[one[0]], -rendezvous_score(group, one[0])),
+            key=lambda pair: (pair[1] in zones, load[pair[0]], -rendezvous_score(group, pair[0])),
         )
         chosen.append(member)
         zones.add(zone)
--- a/badgeryoke/cluster/placement/membership_change.py
+++ b/badgeryoke/cluster/placement/membership_change.py
@@ -1,8 +1,8 @@
-"""What a group's leader does for a move: the next change of its members, or the report of how they stand.
+"""How a group's leader carries out a move: the next membership change, or the report of the new configuration.
 
-A leader only follows the placement: add the learner, wait until it has caught up, promote it, remove the lost
-voter.  So a group has one voter too many for a moment and never one too few, and a removal that would leave fewer
-living voters than a majority waits.
+The leader follows the placement: it adds the learner, waits until the learner has caught up, promotes it and removes
+the lost voter.  So the group briefly has one voter too many and never one too few.  A removal waits while it would
+leave fewer living voters than a majority.
 """
 
 from __future__ import annotations
@@ -16,44 +16,44 @@
 
 def next_membership_change(
     placement: PlacementState,
-    rules: Invariants,
+    invariants: Invariants,
     group: str,
     config: GroupConfiguration,
     behind: tuple[MemberId, ...],
     alive: frozenset[MemberId],
 ) -> ChangeMembership | None:
-    """The next change that the group's leader makes; None where nothing is to be done, or not yet.
+    """The next change that the group's leader makes; None if there is none, or if it has to wait.
 
-    `config` is the committed configuration, `behind` its learners that have not caught up.  Where the member to
-    remove is the leader itself, the caller transfers leadership first.
+    `config` is the committed configuration, `behind` its learners that have not caught up.  If the member to remove
+    is the leader itself, the caller transfers leadership first.
     """
     step = _next_step(placement.moves.get(group), config, behind)
     if step is None:
         return None
-    act, member = step
+    action, member = step
     voters = tuple(voter for voter in config.voters if voter != member)
-    voters += (member,) if act == MembershipAction.PROMOTE else ()
-    rules.check(
+    voters += (member,) if action == MembershipAction.PROMOTE else ()
+    invariants.check(
         Rule.CONFIG_ONE,
         len(set(voters) ^ set(config.voters)) <= 1,
         lambda: f"{group}: {config.voters} to {voters}",
     )
     if (
-        act != MembershipAction.LEARN
+        action != MembershipAction.LEARN
         and sum(voter in alive for voter in voters) < GroupConfiguration(voters).majority()
     ):
-        return None  # the group could acknowledge nothing afterwards
-    return ChangeMembership(f"{act}:{group}:{member}", act, member)
+        return None  # the group could not commit anything afterwards
+    return ChangeMembership(f"{action}:{group}:{member}", action, member)
 
 
 def _next_step(
     move: ReplicaMove | None, config: GroupConfiguration, behind: tuple[MemberId, ...]
 ) -> tuple[MembershipAction, MemberId] | None:
-    """The action of a `ChangeMembership`, and for whom."""
+    """The action and the member of the next `ChangeMembership`."""
     new = move.new if move is not None else ""
     for learner in config.learners:
         if learner != new:
-            return MembershipAction.REMOVE, learner  # of a move that was cancelled
+            return MembershipAction.REMOVE, learner  # a learner of a cancelled move
     if move is None:
         return None
     if new and new not in config.voters:
@@ -70,18 +70,18 @@
     config_index: int,
     behind: tuple[MemberId, ...] = (),
 ) -> ReplicaMoved | None:
-    """What the group's leader has to report of its committed configuration; None where it is known.
+    """The report of a committed configuration to the cluster's own group; None if it is already recorded there.
 
-    `behind` has the voters that have lagged for long (a second or more), so that not each lag is an entry.
+    `behind` are the voters that have lagged for a second or more, so that a short lag does not add a log entry.
     """
-    known = placement.groups.get(group)
+    recorded = placement.groups.get(group)
     behind = tuple(voter for voter in config.voters if voter in behind)
-    if known is None or config_index < known.config_index:
+    if recorded is None or config_index < recorded.config_index:
         return None
-    if (known.voters, known.lagging) == (config.voters, behind):
+    if (recorded.voters, recorded.lagging) == (config.voters, behind):
         return None
     return ReplicaMoved(
-        id=f"moved:{group}:{config_index}:{known.report_count}:{'+'.join(behind)}",
+        id=f"moved:{group}:{config_index}:{recorded.report_count}:{'+'.join(behind)}",
         group=group,
         voters=config.voters,
         number=config_index,
--- a/badgeryoke/cluster/placement/rendezvous.py
+++ b/badgeryoke/cluster/placement/rendezvous.py
@@ -1,7 +1,7 @@
-"""Which group holds a key: rendezvous hashing with xxhash.
+"""Rendezvous hashing with xxhash: determines which group holds a key.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (1998).  Every member computes
-the same score for a pair of names; the group with the highest score holds the key.
+the same scores; the group with the highest score for a key holds the key.
 """
 
 from __future__ import annotations
@@ -15,21 +15,21 @@
 MAX_CACHED_KEYS = 8192
 
 
-def rendezvous_score(one: str, other: str) -> int:
-    """The score of a pair of names, 64 bits; the same on every machine."""
-    return xxhash.xxh3_64_intdigest(f"{one}\0{other}".encode())
+def rendezvous_score(group: str, item: str) -> int:
+    """The 64-bit score of a group with a key or a member id; the same on every machine."""
+    return xxhash.xxh3_64_intdigest(f"{group}\0{item}".encode())
 
 
 def group_name(index: int) -> str:
-    """The name of one of the groups beside the cluster's own."""
+    """The name of a group other than the cluster's own."""
     return f"g{index}"
 
 
 @lru_cache(maxsize=MAX_CACHED_KEYS)
 def group_for_key(key: str, group_count: int) -> str:
-    """The group of a command's key: the cluster's own for "", else one of "g0" to "g(group_count - 1)".
+    """The group of a command's key: the cluster's own group for "", else one of "g0" to "g(group_count - 1)".
 
-    The key's first letter, its kind, does not count.  One group more moves 1 / (group_count + 1) of the keys.
+    The key's first letter, its kind, is ignored.  Adding a group moves 1 / (group_count + 1) of the keys.
     """
     if not key:
         return FLEET
