--- a/tests/cluster/raft/test_raft.py
+++ b/tests/cluster/raft/test_raft.py
@@ -1,5 +1,5 @@
-"""Raft, as a specification: each test states one behaviour of a replica or of a group; planted faults show that
-the checks can fail."""
+"""A specification of the Raft implementation: each test states one behaviour of a replica or a group, and replicas
+with planted faults show that the checks can fail."""
 
 from __future__ import annotations
 
@@ -76,12 +76,12 @@
         except AssertionError as error:
             raise AssertionError(f"seed {seed}: {error}") from error
         acknowledged += len(storm.group.acknowledged)
-        replaced += sum(not who.endswith("/1") for who in storm.group.processes)
+        replaced += sum(not member.endswith("/1") for member in storm.group.processes)
         compacted += sum(
             process.saved.snapshot is not None and process.saved.snapshot.last_included_index > 0
             for process in storm.group.processes.values()
         )
-    # The runs do what they are for.
+    # The runs must contain enough acknowledged commands, replaced members and compactions.
     assert acknowledged > 25 * 20
     assert replaced > 2
     assert compacted > 50
@@ -91,21 +91,22 @@
 
 
 def test_figure_8_entry_of_an_older_term_is_not_committed_by_counting_replicas() -> None:
-    """Case (c) of the figure: an entry of term 2 is on a majority, and the leader of term 4 may not count it."""
-    founded = PersistedGroup(
+    """Case (c) of figure 8 in the paper: an entry of term 2 is on a majority, but the leader of term 4 must not commit
+    it by counting replicas."""
+    persisted = PersistedGroup(
         3,
         "",
         Snapshot(0, 0, THREE_VOTERS, msgspec.msgpack.encode([])),
         (LogEntry(1, 1, EntryKind.COMMAND, b"x"), LogEntry(2, 2, EntryKind.COMMAND, b"y")),
     )
-    replica, machine = single_replica(founded)
+    replica, machine = single_replica(persisted)
     assert sent_messages(replica.handle(replica.due_ms, Tick()), RequestVote)
-    made = replica.handle(2000.0, MessageReceived("b/1", RequestVoteReply("g", 4, True, True)))
-    assert sent_messages(persist_writes(replica, 2000.0, made), RequestVote)
-    made = replica.handle(2000.0, MessageReceived("b/1", RequestVoteReply("g", 4, True, False)))
+    effects = replica.handle(2000.0, MessageReceived("b/1", RequestVoteReply("g", 4, True, True)))
+    assert sent_messages(persist_writes(replica, 2000.0, effects), RequestVote)
+    effects = replica.handle(2000.0, MessageReceived("b/1", RequestVoteReply("g", 4, True, False)))
     assert replica.role is Role.LEADER
     assert replica.last_log_index == 3
-    persist_writes(replica, 2000.0, made)
+    persist_writes(replica, 2000.0, effects)
     replica.handle(2001.0, MessageReceived("b/1", AppendEntriesReply("g", 4, True, 2, 1)))
     assert replica.commit_index == 0
     assert not machine.rows
@@ -118,25 +119,25 @@
     group = SimulatedGroup(1, 3)
     leader = group.wait_for_leader()
     term = replica_of(group, leader.member_id).current_term
-    other = next(who for who in group.processes if who != leader.member_id)
-    partition(group, (other,))
+    follower = next(member for member in group.processes if member != leader.member_id)
+    partition(group, (follower,))
     group.run(10_000.0)
-    assert replica_of(group, other).role is Role.PRE_CANDIDATE
-    assert replica_of(group, other).current_term == term
+    assert replica_of(group, follower).role is Role.PRE_CANDIDATE
+    assert replica_of(group, follower).current_term == term
     group.blocked_links = set()
     group.run(3000.0)
     assert group.leader() is leader
     assert replica_of(group, leader.member_id).current_term == term
-    assert replica_of(group, other).leader_id == leader.member_id
+    assert replica_of(group, follower).leader_id == leader.member_id
 
 
 def test_partitioned_leader_steps_down_and_reports_unknown_outcomes() -> None:
     group = SimulatedGroup(2, 3)
-    old = group.wait_for_leader()
-    partition(group, (old.member_id,))
-    assert isinstance(group.call_and_wait(ProposeCommand("p", b"p"), old), UnknownOutcome)
-    assert isinstance(group.call_and_wait(ReadIndexRequest("r"), old), NoLeader)
-    assert replica_of(group, old.member_id).role is not Role.LEADER
+    old_leader = group.wait_for_leader()
+    partition(group, (old_leader.member_id,))
+    assert isinstance(group.call_and_wait(ProposeCommand("p", b"p"), old_leader), UnknownOutcome)
+    assert isinstance(group.call_and_wait(ReadIndexRequest("r"), old_leader), NoLeader)
+    assert replica_of(group, old_leader.member_id).role is not Role.LEADER
     group.call_and_wait(ProposeCommand("q", b"q"))
     group.blocked_links = set()
     group.run(2000.0)
@@ -146,12 +147,12 @@
 
 def test_leader_resumed_after_a_pause_serves_no_stale_read() -> None:
     group = SimulatedGroup(3, 3)
-    old = group.wait_for_leader()
-    old.frozen = True
+    old_leader = group.wait_for_leader()
+    old_leader.frozen = True
     group.run(700.0)
-    group.call_and_wait(ProposeCommand("p", b"p"), group.wait_for_leader(old))
-    token = group.call("read", ReadIndexRequest("r"), old)
-    group.unfreeze(old)
+    group.call_and_wait(ProposeCommand("p", b"p"), group.wait_for_leader(old_leader))
+    token = group.call("read", ReadIndexRequest("r"), old_leader)
+    group.unfreeze(old_leader)
     assert isinstance(group.answers[token], NoLeader)
 
 
@@ -159,133 +160,133 @@
     group = SimulatedGroup(4, 3)
     for number in range(40):
         group.call_and_wait(ProposeCommand(f"p{number}", f"p{number}".encode()))
-    leader, new = group.wait_for_leader(), group.add_process("d/1", None)
+    leader, new_member = group.wait_for_leader(), group.add_process("d/1", None)
     replica = replica_of(group, leader.member_id)
     assert not isinstance(group.call_and_wait(ProposeCommand("more", b"more")), ClusterError)
     partition(group, ("d/1",))
     assert not isinstance(
         group.call_and_wait(ChangeMembership("l", MembershipAction.LEARN, "d/1")), ClusterError
     )
-    early = group.call_and_wait(ChangeMembership("p", MembershipAction.PROMOTE, "d/1"))
-    assert isinstance(early, WrongState)
+    early_promotion = group.call_and_wait(ChangeMembership("p", MembershipAction.PROMOTE, "d/1"))
+    assert isinstance(early_promotion, WrongState)
     assert replica.lagging_learners() == ("d/1",)
     group.blocked_links = set()
     chunks = 0
 
-    def lossy(sender: MemberId, to: MemberId, message: Any) -> bool:
+    def drop_every_third_chunk(sender: MemberId, recipient: MemberId, message: Any) -> bool:
         nonlocal chunks
         chunks += isinstance(message, InstallSnapshotChunk)
         return isinstance(message, InstallSnapshotChunk) and chunks % 3 == 0
 
-    group.is_lost = lossy
+    group.is_lost = drop_every_third_chunk
     assert group.run(5000.0, lambda: not replica.lagging_learners())
     assert chunks >= 4
-    assert replica.config.voters == THREE_VOTERS.voters  # a learner has no vote
+    assert replica.config.voters == THREE_VOTERS.voters  # a learner is not a voter
     token = group.call("change", ChangeMembership("one", MembershipAction.PROMOTE, "d/1"), leader)
     assert isinstance(
         group.call_and_wait(ChangeMembership("two", MembershipAction.REMOVE, "a/1"), leader), WrongState
     )
     assert group.run(1000.0, lambda: token in group.answers)
     assert group.answers[token].voters == (*THREE_VOTERS.voters, "d/1")
-    assert new.state_machine is not None
+    assert new_member.state_machine is not None
     group.run(300.0)
-    assert new.state_machine.rows == leader.state_machine.rows  # type: ignore[union-attr]
+    assert new_member.state_machine.rows == leader.state_machine.rows  # type: ignore[union-attr]
 
 
 def test_uncommitted_configuration_is_rolled_back() -> None:
     group = SimulatedGroup(5, 3)
-    old = group.wait_for_leader()
-    partition(group, (old.member_id,))
-    token = group.call("change", ChangeMembership("c", MembershipAction.LEARN, "d/1"), old)
-    assert replica_of(group, old.member_id).config.learners == ("d/1",)
-    assert group.run(3000.0, lambda: token in group.answers and group.leader() not in (None, old))
+    old_leader = group.wait_for_leader()
+    partition(group, (old_leader.member_id,))
+    token = group.call("change", ChangeMembership("c", MembershipAction.LEARN, "d/1"), old_leader)
+    assert replica_of(group, old_leader.member_id).config.learners == ("d/1",)
+    assert group.run(3000.0, lambda: token in group.answers and group.leader() not in (None, old_leader))
     assert isinstance(group.answers[token], UnknownOutcome)
     group.blocked_links = set()
     group.run(2000.0)
-    assert replica_of(group, old.member_id).config == THREE_VOTERS
+    assert replica_of(group, old_leader.member_id).config == THREE_VOTERS
 
 
 def test_leadership_transfer_takes_no_election_timeout_and_a_removed_leader_steps_down() -> None:
     group = SimulatedGroup(6, 3)
-    old = group.wait_for_leader()
-    group.deliver(old, TransferLeadership())
-    refused = group.call("propose", ProposeCommand("late", b"late"), old)
-    assert isinstance(group.answers[refused], NoLeader)
-    assert group.run(100.0, lambda: group.leader() not in (None, old))
-    second = group.wait_for_leader()
+    old_leader = group.wait_for_leader()
+    group.deliver(old_leader, TransferLeadership())
+    rejected_token = group.call("propose", ProposeCommand("late", b"late"), old_leader)
+    assert isinstance(group.answers[rejected_token], NoLeader)
+    assert group.run(100.0, lambda: group.leader() not in (None, old_leader))
+    second_leader = group.wait_for_leader()
     assert group.call_and_wait(
-        ChangeMembership("x", MembershipAction.REMOVE, second.member_id), second
-    ).voters == tuple(who for who in THREE_VOTERS.voters if who != second.member_id)
-    assert group.run(100.0, lambda: group.leader() not in (None, second))
-    assert replica_of(group, second.member_id).is_removed
-    assert replica_of(group, second.member_id).due_ms == float("inf")
+        ChangeMembership("x", MembershipAction.REMOVE, second_leader.member_id), second_leader
+    ).voters == tuple(voter for voter in THREE_VOTERS.voters if voter != second_leader.member_id)
+    assert group.run(100.0, lambda: group.leader() not in (None, second_leader))
+    assert replica_of(group, second_leader.member_id).is_removed
+    assert replica_of(group, second_leader.member_id).due_ms == float("inf")
 
 
 def test_leadership_transfer_to_an_unreachable_member_times_out() -> None:
     group = SimulatedGroup(7, 3)
     leader = group.wait_for_leader()
-    other = next(who for who in group.processes if who != leader.member_id)
-    partition(group, (other,))
+    follower = next(member for member in group.processes if member != leader.member_id)
+    partition(group, (follower,))
     group.call_and_wait(ProposeCommand("p", b"p"), leader)
-    group.deliver(leader, TransferLeadership(other))
+    group.deliver(leader, TransferLeadership(follower))
     group.run(700.0)
     assert not isinstance(group.call_and_wait(ProposeCommand("q", b"q"), leader), ClusterError)
 
 
 def test_replies_wait_until_their_records_are_persisted() -> None:
     replica, _ = single_replica(PersistedGroup(), THREE_VOTERS)
-    made = replica.handle(5.0, MessageReceived("b/1", RequestVote("g", 1, 0, 0, False)))
-    assert not sent_messages(made, RequestVoteReply)
-    again = replica.handle(6.0, MessageReceived("c/1", RequestVote("g", 1, 0, 0, False)))
-    assert [vote.vote_granted for vote in sent_messages(again, RequestVoteReply)] == [False]
+    effects = replica.handle(5.0, MessageReceived("b/1", RequestVote("g", 1, 0, 0, False)))
+    assert not sent_messages(effects, RequestVoteReply)
+    second_effects = replica.handle(6.0, MessageReceived("c/1", RequestVote("g", 1, 0, 0, False)))
+    assert [vote.vote_granted for vote in sent_messages(second_effects, RequestVoteReply)] == [False]
     assert [
-        vote.vote_granted for vote in sent_messages(persist_writes(replica, 7.0, made), RequestVoteReply)
+        vote.vote_granted for vote in sent_messages(persist_writes(replica, 7.0, effects), RequestVoteReply)
     ] == [True]
-    made = replica.handle(
+    effects = replica.handle(
         8.0,
         MessageReceived("b/1", AppendEntries("g", 1, 0, 0, (LogEntry(1, 1, EntryKind.COMMAND, b"x"),), 0, 4)),
     )
-    assert [(one.index, one.heartbeat_round) for one in sent_messages(made, AppendEntriesReply)] == [
+    assert [(reply.index, reply.heartbeat_round) for reply in sent_messages(effects, AppendEntriesReply)] == [
         (0, 4)
-    ]  # the round alone
+    ]  # only the heartbeat round is confirmed
     assert [
-        (one.success, one.index)
-        for one in sent_messages(persist_writes(replica, 9.0, made), AppendEntriesReply)
+        (reply.success, reply.index)
+        for reply in sent_messages(persist_writes(replica, 9.0, effects), AppendEntriesReply)
     ] == [(True, 1)]
 
 
 def test_storage_failure_stops_the_replica() -> None:
     group = SimulatedGroup(8, 3)
-    old = group.wait_for_leader()
-    old.hold_writes = True
-    group.blocked_links = {(old.member_id, who) for who in group.processes}
-    token = group.call("propose", ProposeCommand("p", b"p"), old)
+    old_leader = group.wait_for_leader()
+    old_leader.hold_writes = True
+    group.blocked_links = {(old_leader.member_id, member) for member in group.processes}
+    token = group.call("propose", ProposeCommand("p", b"p"), old_leader)
     group.blocked_links = set()
-    group.deliver(old, StorageFailure(StorageFailed("disk", "full")))
+    group.deliver(old_leader, StorageFailure(StorageFailed("disk", "full")))
     assert isinstance(group.answers[token], UnknownOutcome)
-    assert isinstance(group.answers[group.call("read", ReadIndexRequest("r"), old)], StorageFailed)
+    assert isinstance(group.answers[group.call("read", ReadIndexRequest("r"), old_leader)], StorageFailed)
     assert group.run(
-        200.0, lambda: group.leader() not in (None, old)
-    )  # another was notified to start an election
-    replica = replica_of(group, old.member_id)
+        200.0, lambda: group.leader() not in (None, old_leader)
+    )  # the stopped leader made another member start an election
+    replica = replica_of(group, old_leader.member_id)
     later_request = MessageReceived("b/1", RequestVote("g", 99, 99, 99, False))
     assert replica.handle(group.now_ms, later_request) == []
     assert replica.due_ms == float("inf")
 
 
 def test_unknown_candidate_is_answered_only_with_a_newer_log() -> None:
-    """An unknown candidate with a newer log may be a member by an entry that is missing here."""
+    """An entry that is missing here may have made an unknown candidate with a newer log a member."""
     replica, _ = single_replica(PersistedGroup(), THREE_VOTERS)
     assert replica.handle(1.0, MessageReceived("d/1", RequestVote("g", 9, 0, 0, False))) == []
     assert replica.current_term == 0
-    made = replica.handle(2.0, MessageReceived("d/1", RequestVote("g", 9, 3, 2, False)))
+    effects = replica.handle(2.0, MessageReceived("d/1", RequestVote("g", 9, 3, 2, False)))
     assert replica.current_term == 9
-    votes = sent_messages(persist_writes(replica, 2.0, made), RequestVoteReply)
+    votes = sent_messages(persist_writes(replica, 2.0, effects), RequestVoteReply)
     assert [vote.vote_granted for vote in votes] == [True]
-    store = replica.discard()[-1]
-    assert isinstance(store, PersistRecords)
-    new_member, _ = single_replica(apply_write(PersistedGroup(), store), THREE_VOTERS)
-    assert new_member.voted_for == "d/1"  # its vote outlives its log
+    write = replica.discard()[-1]
+    assert isinstance(write, PersistRecords)
+    new_member, _ = single_replica(apply_write(PersistedGroup(), write), THREE_VOTERS)
+    assert new_member.voted_for == "d/1"  # the vote is kept after the log is deleted
     assert new_member.config == GroupConfiguration(())
     new_member, _ = single_replica(PersistedGroup())
     assert new_member.handle(1.0, MessageReceived("b/1", RequestVote("g", 9, 3, 2, False))) == []
@@ -293,28 +294,28 @@
 
 
 def test_replica_is_up_to_date_once_it_has_applied_the_leaders_commit_index() -> None:
-    """After a start, having applied its own commit index means nothing: it knows of no committed entry."""
-    founded = PersistedGroup(
+    """A freshly started replica has applied up to its own commit index, but does not yet have the leader's."""
+    persisted = PersistedGroup(
         3,
         "",
         Snapshot(0, 0, THREE_VOTERS, msgspec.msgpack.encode([])),
         (LogEntry(1, 1, EntryKind.COMMAND, b"x"),),
     )
-    replica, _ = single_replica(founded)
+    replica, _ = single_replica(persisted)
     assert replica.last_applied == replica.commit_index
     assert not replica.is_up_to_date
     for index, previous, up_to_date in ((1, 0, False), (2, 1, False), (3, 2, True)):
-        said = AppendEntries(
+        append = AppendEntries(
             "g", 3, previous, int(previous > 0), (LogEntry(index, 1, EntryKind.COMMAND, b"x"),), 3, 1
         )
-        replica.handle(float(index), MessageReceived("b/1", said))
+        replica.handle(float(index), MessageReceived("b/1", append))
         assert replica.leader_id == "b/1"
         assert replica.is_up_to_date is up_to_date
 
 
 def test_vote_of_an_earlier_incarnation_does_not_count() -> None:
-    for kind in (RaftNode, CountsVotesByName):
-        replica = kind(
+    for replica_type in (RaftNode, CountsVotesByName):
+        replica = replica_type(
             "g",
             "a/1",
             PersistedGroup(),
@@ -329,7 +330,7 @@
         replica.handle(2000.0, Tick())
         vote = MessageReceived("b/0", RequestVoteReply("g", 1, True, True))
         persist_writes(replica, 2000.0, replica.handle(2000.0, vote))
-        if kind is RaftNode:
+        if replica_type is RaftNode:
             assert replica.role is Role.PRE_CANDIDATE
         else:
             with pytest.raises(InvariantViolation, match="VOTE_ONCE"):
@@ -337,7 +338,7 @@
 
 
 def test_broken_invariant_stops_the_replica_in_service() -> None:
-    rules = Invariants(strict=False)
+    invariants = Invariants(strict=False)
     replica = SendsBeforePersisting(
         "g",
         "a/1",
@@ -345,13 +346,13 @@
         RecordingStateMachine(SimulatedGroup(0, 0)),
         TIMINGS,
         random.Random(1),
-        rules,
+        invariants,
         0.0,
         THREE_VOTERS,
     )
-    made = replica.handle(1.0, MessageReceived("b/1", RequestVote("g", 1, 0, 0, False)))
-    assert not sent_messages(made, RequestVoteReply)
-    assert [rule for rule, _ in rules.broken] == [Rule.STORED_FIRST]
+    effects = replica.handle(1.0, MessageReceived("b/1", RequestVote("g", 1, 0, 0, False)))
+    assert not sent_messages(effects, RequestVoteReply)
+    assert [rule for rule, _ in invariants.broken] == [Rule.STORED_FIRST]
     assert isinstance(replica.handle(2.0, ProposeCommand("p", b""))[0].result, InvariantBroken)  # type: ignore[union-attr]
     assert replica.handle(2.0, MessageReceived("b/1", AppendEntries("g", 1, 0, 0, (), 0, 1))) == []
 
@@ -387,36 +388,36 @@
         Overloaded,
     )
     group.committed_commands.clear()
-    other = next(process for process in group.processes.values() if process is not leader)
-    assert isinstance(group.answers[group.call("read", ReadIndexRequest("r"), other)], NoLeader)
+    follower = next(process for process in group.processes.values() if process is not leader)
+    assert isinstance(group.answers[group.call("read", ReadIndexRequest("r"), follower)], NoLeader)
 
 
-# Planted faults: each is detected within a stated number of seeds
+# Planted faults: each must be detected within a stated number of seeds
 
 
 class SendsBeforePersisting(RaftNode):
-    """Votes, requests for votes and replies are sent before they are persisted."""
+    """Sends votes, requests for votes and replies before the records that they depend on are persisted."""
 
     def _send_when_persisted(self, to: MemberId, message: Any) -> None:
         self._send(to, message)
 
 
 class SendsBeforePersistingUnchecked(SendsBeforePersisting):
-    """The same with the replica's own checks off: the history has to show it."""
+    """The same with the replica's own checks disabled, so that only the history check can detect it."""
 
     def _check(self, rule: Rule, holds: bool, facts: Any) -> bool:
         return True
 
 
 class CommitsOlderTerm(RaftNode):
-    """Commits by counting copies of an older term's entry."""
+    """Commits an entry of an older term by counting replicas."""
 
     def _is_entry_of_current_term(self, index: int) -> bool:
         return True
 
 
 class TruncatesCommitted(RaftNode):
-    """Lets a late append replace committed entries."""
+    """Truncates committed entries when a late append arrives."""
 
     def _append_entries(self, entries: tuple[LogEntry, ...]) -> bool:
         if (
@@ -438,21 +439,21 @@
 class VotesTwice(RaftNode):
     """Votes for every candidate."""
 
-    def _may_grant_vote(self, who: MemberId) -> bool:
+    def _may_grant_vote(self, candidate: MemberId) -> bool:
         return True
 
 
 class CountsVotesByName(RaftNode):
-    """Counts a vote by the member's name, of whatever incarnation."""
+    """Counts a vote by the member's name, whatever its incarnation."""
 
-    def _is_eligible_voter(self, who: MemberId) -> bool:
-        return member_name(who) in map(member_name, self.config.voters)
+    def _is_eligible_voter(self, member: MemberId) -> bool:
+        return member_name(member) in map(member_name, self.config.voters)
 
 
 class ReadsWithoutRound(RaftNode):
-    """Completes a read at once."""
+    """Completes a read without a heartbeat round."""
 
-    def _handle_read(self, now: float, token: str) -> None:
+    def _handle_read(self, now_ms: float, token: str) -> None:
         self._effects.append(
             OperationCompleted(token, None if self.role is Role.LEADER else NoLeader(self.group, ""))
         )
@@ -461,17 +462,17 @@
 class AppliesTwice(RaftNode):
     """Applies its last entry again with each new term."""
 
-    def _become_follower(self, now: float, term: int, leader: MemberId = "") -> None:
+    def _become_follower(self, now_ms: float, term: int, leader: MemberId = "") -> None:
         if term > self.current_term and self.last_applied > self._log.base_index:
             self.last_applied -= 1
-        super()._become_follower(now, term, leader)
+        super()._become_follower(now_ms, term, leader)
 
 
 class PlantedFault(NamedTuple):
-    """A faulty replica, or a storm that breaks a premise, and what it has to be detected by."""
+    """A faulty replica or a fault of the environment, and the violations that must detect it."""
 
     name: str
-    detected_by: tuple[str, ...]  # beginnings of the violation's text
+    detected_by: tuple[str, ...]  # prefixes of the violation's text
     max_seeds: int
     replica_type: type[RaftNode] = RaftNode
     reuse_member_id: bool = False
@@ -500,15 +501,15 @@
 )
 
 
-@pytest.mark.parametrize("planted", PLANTED_FAULTS, ids=lambda planted: planted.name)
-def test_planted_fault_is_detected(planted: PlantedFault) -> None:
-    for seed in range(planted.max_seeds):
+@pytest.mark.parametrize("planted_fault", PLANTED_FAULTS, ids=lambda planted_fault: planted_fault.name)
+def test_planted_fault_is_detected(planted_fault: PlantedFault) -> None:
+    for seed in range(planted_fault.max_seeds):
         try:
-            FaultStorm(seed, planted.replica_type, planted.reuse_member_id).run()
+            FaultStorm(seed, planted_fault.replica_type, planted_fault.reuse_member_id).run()
         except (InvariantViolation, HistoryViolation) as violation:
-            if str(violation).startswith(planted.detected_by):
+            if str(violation).startswith(planted_fault.detected_by):
                 return
             raise
         except (AssertionError, IndexError):
-            continue  # the fault shows in another way in this run
-    pytest.fail(f"not detected in {planted.max_seeds} seeds")
+            continue  # in this run, the fault has another effect
+    pytest.fail(f"not detected in {planted_fault.max_seeds} seeds")
