--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -1,5 +1,7 @@
-"""Digests of the cluster part's behaviour, recorded once: a change that only renames or moves leaves each
-as it is."""
+"""Compares the behaviour of the cluster modules with recorded digests.
+
+A change that only renames or moves code leaves every digest the same.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +14,19 @@
 from badgeryoke.cluster.bootstrap_record import BootstrapRecord
 from badgeryoke.cluster.connection_limits.commands import (
     MAX_LIMIT,
+    ConnectionLeaseRequest,
     LeaseReference,
     ReleaseConnectionLeases,
     RemoveConnectionLimit,
     RequestConnectionLeases,
     SetConnectionLimit,
 )
-from badgeryoke.cluster.connection_limits.commands import ConnectionLeaseRequest as ConnAsk
 from badgeryoke.cluster.connection_limits.holders import holder_id, server_bucket
 from badgeryoke.cluster.connection_limits.lease_holder import ConnectionLeaseHolder
 from badgeryoke.cluster.connection_limits.limits import ConnectionLimits
 from badgeryoke.cluster.errors import NoLeader, StorageFailed, UnknownOutcome
 from badgeryoke.cluster.events import (
-    ChangeMembership as ChangeMembers,
-)
-from badgeryoke.cluster.events import (
+    ChangeMembership,
     ClusterCall,
     LeaveCluster,
     MembershipAction,
@@ -34,6 +34,7 @@
     NodeEvent,
     PersistedGroup,
     PersistRecords,
+    ProposeCommand,
     ReadIndexRequest,
     RecordsPersisted,
     ReplicaEvent,
@@ -43,7 +44,6 @@
     Tick,
     TransferLeadership,
 )
-from badgeryoke.cluster.events import ProposeCommand as ProposeEntry
 from badgeryoke.cluster.invariants import Invariants
 from badgeryoke.cluster.key_value import PutValue, ReadValue
 from badgeryoke.cluster.leases.lease import LeaseRequest
@@ -104,8 +104,7 @@
     VersionDrained,
 )
 from badgeryoke.cluster.reservations.lease_client import ReservationClient, ReservedUnits
-from badgeryoke.cluster.reservations.priority_shedding import CapacityClaim as ShareClaim
-from badgeryoke.cluster.reservations.priority_shedding import CapacityShares
+from badgeryoke.cluster.reservations.priority_shedding import CapacityClaim, CapacityShares
 from badgeryoke.cluster.reservations.terms import ContractTerms, Interval, Window, expand_windows
 from badgeryoke.cluster.rolling_restart.commands import (
     CancelRollingRestart,
@@ -159,8 +158,8 @@
 from tests.support.raft_storm import FaultStorm
 
 TIMINGS = Timings()
-SHORT = Timings(snapshot_entries=8, piece_bytes=48, most_batch=3, most_in_flight=6)
-START = 1_700_000_000_000.0  # Unix ms
+SMALL_LIMITS = Timings(snapshot_entries=8, piece_bytes=48, most_batch=3, most_in_flight=6)
+START_MS = 1_700_000_000_000.0  # Unix ms
 
 
 # Raft replica
@@ -168,12 +167,12 @@
 
 
 def recorded_replica(digest: Digest) -> type[RaftNode]:
-    """A replica whose events and effects go into a digest."""
+    """A replica type that adds its events and effects to a digest."""
 
-    class Recorded(RaftNode):
-        def handle(self, now: float, event: ReplicaEvent) -> list[Any]:
-            digest.add((now, str(self.member_id), event))
-            effects = super().handle(now, event)
+    class RecordedReplica(RaftNode):
+        def handle(self, now_ms: float, event: ReplicaEvent) -> list[Any]:
+            digest.add((now_ms, str(self.member_id), event))
+            effects = super().handle(now_ms, event)
             for effect in effects:
                 digest.add(effect)
             digest.add(
@@ -191,137 +190,144 @@
             )
             return effects
 
-    return Recorded
+    return RecordedReplica
 
 
-@pytest.mark.parametrize("seed", range(10), ids="storm-{}".format)
-def test_replicas_in_a_storm(seed: int) -> None:
+@pytest.mark.parametrize("seed", range(10), ids="seed-{}".format)
+def test_replicas_under_random_faults(seed: int) -> None:
     digest = Digest()
     storm = FaultStorm(1000 + seed, recorded_replica(digest), duration_ms=2500.0)
     storm.run()
-    world = storm.group
-    digest.add([str(who) for who in world.processes])
-    digest.add(world.acknowledged)
-    for at, site in enumerate(world.processes.values()):
-        assert site.replica is not None
-        digest.add(site.replica.status(world.now_ms))
-        if at % 2:
-            site.replica.handle(world.now_ms, StorageFailure(StorageFailed("g", "the disk is full")))
-        site.replica.handle(world.now_ms, ReadIndexRequest("late-read"))
-        site.replica.handle(world.now_ms, ProposeEntry("late", b"x"))
-        digest.add(site.replica.discard())
-        digest.add(site.replica.status(world.now_ms))
+    group = storm.group
+    digest.add([str(member) for member in group.processes])
+    digest.add(group.acknowledged)
+    for position, process in enumerate(group.processes.values()):
+        assert process.replica is not None
+        digest.add(process.replica.status(group.now_ms))
+        if position % 2:
+            process.replica.handle(group.now_ms, StorageFailure(StorageFailed("g", "the disk is full")))
+        process.replica.handle(group.now_ms, ReadIndexRequest("late-read"))
+        process.replica.handle(group.now_ms, ProposeCommand("late", b"x"))
+        digest.add(process.replica.discard())
+        digest.add(process.replica.status(group.now_ms))
     check(f"replica-storm-{seed}", digest)
 
 
-class Rows:
-    """A machine that keeps its commands."""
+class RowStateMachine:
+    """A state machine that keeps its commands in a list."""
 
     def __init__(self) -> None:
         self.rows: list[bytes] = []
 
-    def apply(self, now: float, index: int, body: bytes) -> int:
+    def apply(self, now_ms: float, index: int, body: bytes) -> int:
         self.rows.append(body)
         return len(self.rows)
 
     def dump(self) -> bytes:
         return b"|".join(self.rows)
 
-    def restore(self, now: float, body: bytes) -> None:
+    def restore(self, now_ms: float, body: bytes) -> None:
         self.rows = body.split(b"|") if body else []
 
 
-class Strangers:
-    """Draws messages and calls to one replica, likely ones and absurd ones."""
+class RandomMessages:
+    """Generates random messages and calls for one replica, plausible and implausible ones.
+
+    `cooperative`: the replica's own messages get the replies that a correct follower would send.
+    """
 
-    def __init__(self, draw: random.Random, replica: RaftNode, names: tuple[MemberId, ...]) -> None:
-        self.draw, self.replica, self.names = draw, replica, names
-        self.tokens = 0
-        self.friendly = False
-        self.answers: list[MessageReceived] = []  # on their way to the replica
+    def __init__(self, rng: random.Random, replica: RaftNode, members: tuple[MemberId, ...]) -> None:
+        self.rng, self.replica, self.members = rng, replica, members
+        self.token_count = 0
+        self.cooperative = False
+        self.pending_replies: list[MessageReceived] = []  # not yet delivered to the replica
 
-    def term(self) -> int:
-        return max(self.replica.current_term + self.draw.choice((0, 0, 0, 0, 0, 0, 1, -1)), 0)
+    def random_term(self) -> int:
+        return max(self.replica.current_term + self.rng.choice((0, 0, 0, 0, 0, 0, 1, -1)), 0)
 
-    def index(self) -> int:
-        near = self.draw.choice(
+    def random_index(self) -> int:
+        near_index = self.rng.choice(
             (self.replica.last_log_index, self.replica.commit_index, self.replica.last_log_index + 1)
         )
-        return max(near + self.draw.choice((0, 0, 0, -1, 1, -3)), 0)
+        return max(near_index + self.rng.choice((0, 0, 0, -1, 1, -3)), 0)
 
-    def token(self) -> str:
-        self.tokens += 1
-        return f"t{self.tokens}"
+    def next_token(self) -> str:
+        self.token_count += 1
+        return f"t{self.token_count}"
 
-    def entries(self, previous: int, term: int) -> tuple[LogEntry, ...]:
-        made = tuple(
-            LogEntry(previous + 1 + at, term, EntryKind.COMMAND, f"e{previous}-{at}".encode())
-            for at in range(self.draw.choice((0, 0, 1, 2, 3)))
+    def random_entries(self, prev_log_index: int, term: int) -> tuple[LogEntry, ...]:
+        entries = tuple(
+            LogEntry(
+                prev_log_index + 1 + offset, term, EntryKind.COMMAND, f"e{prev_log_index}-{offset}".encode()
+            )
+            for offset in range(self.rng.choice((0, 0, 1, 2, 3)))
         )
-        if made and self.draw.random() < 0.1:
-            voters = self.names[: self.draw.randint(2, len(self.names))]
-            made = (
-                *made[:-1],
-                LogEntry(made[-1].index, term, EntryKind.CONFIG, encode_config(GroupConfiguration(voters))),
+        if entries and self.rng.random() < 0.1:
+            voters = self.members[: self.rng.randint(2, len(self.members))]
+            entries = (
+                *entries[:-1],
+                LogEntry(
+                    entries[-1].index, term, EntryKind.CONFIG, encode_config(GroupConfiguration(voters))
+                ),
             )
-        return made
+        return entries
 
-    def message(self) -> Any:
-        draw, term, index = self.draw, self.term(), self.index()
-        kind = draw.choices(range(7), (14, 14, 25, 25, 6, 3, 4))[0]
+    def random_message(self) -> Any:
+        rng, term, index = self.rng, self.random_term(), self.random_index()
+        kind = rng.choices(range(7), (14, 14, 25, 25, 6, 3, 4))[0]
         if kind == 0:
             return RequestVote(
-                "g", term, index, draw.choice((term, term - 1, 0)), draw.random() < 0.5, draw.random() < 0.2
+                "g", term, index, rng.choice((term, term - 1, 0)), rng.random() < 0.5, rng.random() < 0.2
             )
         if kind == 1:
-            return RequestVoteReply("g", term, draw.random() < 0.8, draw.random() < 0.5)
+            return RequestVoteReply("g", term, rng.random() < 0.8, rng.random() < 0.5)
         if kind == 2:
             return AppendEntries(
                 "g",
                 term,
                 index,
-                draw.choice((term, term, term - 1)),
-                self.entries(index, term),
+                rng.choice((term, term, term - 1)),
+                self.random_entries(index, term),
                 index,
-                draw.randint(0, 20),
+                rng.randint(0, 20),
             )
         if kind == 3:
-            return AppendEntriesReply("g", term, draw.random() < 0.8, index, draw.randint(0, 40))
+            return AppendEntriesReply("g", term, rng.random() < 0.8, index, rng.randint(0, 40))
         if kind == 4:
-            size = draw.choice((0, 4, 8))
-            offset = draw.choice((0, 0, 4))
+            size = rng.choice((0, 4, 8))
+            offset = rng.choice((0, 0, 4))
             return InstallSnapshotChunk(
                 "g",
                 term,
-                index + draw.randint(0, 4),
+                index + rng.randint(0, 4),
                 term,
-                GroupConfiguration(self.names[:3]),
+                GroupConfiguration(self.members[:3]),
                 offset,
                 size,
                 b"a|b|c|d|"[offset : offset + 4],
-                draw.randint(0, 20),
+                rng.randint(0, 20),
             )
         if kind == 5:
-            return InstallSnapshotChunkReply("g", term, index, draw.randint(0, 60), draw.randint(0, 20))
+            return InstallSnapshotChunkReply("g", term, index, rng.randint(0, 60), rng.randint(0, 20))
         return TimeoutNow("g", term)
 
-    def answer(self, sent: SendMessage) -> MessageReceived | None:
-        """What a member that follows in good faith would say."""
+    def follower_reply(self, sent: SendMessage) -> MessageReceived | None:
+        """The reply that a correct follower would send."""
         message = sent.message
         match message:
             case RequestVote():
                 return MessageReceived(sent.to, RequestVoteReply("g", message.term, True, message.pre_vote))
             case AppendEntries():
-                last = message.prev_log_index + len(message.entries)
-                if self.draw.random() < 0.1:
+                match_index = message.prev_log_index + len(message.entries)
+                if self.rng.random() < 0.1:
                     return MessageReceived(
                         sent.to,
                         AppendEntriesReply(
-                            "g", message.term, False, max(last - 3, 0), message.heartbeat_round
+                            "g", message.term, False, max(match_index - 3, 0), message.heartbeat_round
                         ),
                     )
                 return MessageReceived(
-                    sent.to, AppendEntriesReply("g", message.term, True, last, message.heartbeat_round)
+                    sent.to, AppendEntriesReply("g", message.term, True, match_index, message.heartbeat_round)
                 )
             case InstallSnapshotChunk():
                 return MessageReceived(
@@ -336,75 +342,73 @@
                 )
         return None
 
-    def event(self, seqs: list[int]) -> ReplicaEvent:
-        draw, chance = self.draw, self.draw.random()
-        if self.friendly and self.answers and chance < 0.6:
-            return self.answers.pop(0)
-        if self.friendly and chance < 0.9:
-            chance = draw.choice((0.1, 0.4, 0.87, 0.95, 0.97, 0.995))
+    def next_event(self, open_sequences: list[int]) -> ReplicaEvent:
+        rng, chance = self.rng, self.rng.random()
+        if self.cooperative and self.pending_replies and chance < 0.6:
+            return self.pending_replies.pop(0)
+        if self.cooperative and chance < 0.9:
+            chance = rng.choice((0.1, 0.4, 0.87, 0.95, 0.97, 0.995))
         if chance < 0.3:
             return Tick()
-        if chance < 0.55 and seqs:
-            return RecordsPersisted("g", seqs.pop(0))
+        if chance < 0.55 and open_sequences:
+            return RecordsPersisted("g", open_sequences.pop(0))
         if chance < 0.85:
-            return MessageReceived(draw.choice(self.names), self.message())
+            return MessageReceived(rng.choice(self.members), self.random_message())
         if chance < 0.93:
-            body = b"x" * (MAX_COMMAND_BYTES + 1) if draw.random() < 0.02 else f"p{self.tokens}".encode()
-            return ProposeEntry(self.token(), body)
+            body = b"x" * (MAX_COMMAND_BYTES + 1) if rng.random() < 0.02 else f"p{self.token_count}".encode()
+            return ProposeCommand(self.next_token(), body)
         if chance < 0.96:
-            return ReadIndexRequest(self.token())
+            return ReadIndexRequest(self.next_token())
         if chance < 0.99:
-            token, action = (
-                self.token(),
-                draw.choice(("learn", "promote", "remove", "dance")),
-            )  # one is unknown
-            return ChangeMembers(token, cast(MembershipAction, action), draw.choice(self.names))
-        return TransferLeadership(draw.choice((*self.names, "")))
-
-
-@pytest.mark.parametrize("seed", range(24), ids="strangers-{}".format)
-def test_one_replica_among_strangers(seed: int) -> None:
-    """Messages that no group would send, with breaches of the invariants noted and not raised."""
-    digest, draw = Digest(), random.Random(2000 + seed)
-    names = tuple(f"{name}/1" for name in "abcde")
-    voters = GroupConfiguration(names[: draw.choice((1, 3, 3, 5))])
-    rules, saved, now = Invariants(strict=False), PersistedGroup(), 0.0
-    for life in range(6):
-        machine = Rows()
+            # "dance" is not a valid action.
+            token, action = self.next_token(), rng.choice(("learn", "promote", "remove", "dance"))
+            return ChangeMembership(token, cast(MembershipAction, action), rng.choice(self.members))
+        return TransferLeadership(rng.choice((*self.members, "")))
+
+
+@pytest.mark.parametrize("seed", range(24), ids="seed-{}".format)
+def test_replica_receiving_arbitrary_messages(seed: int) -> None:
+    """Messages that a correct group would not send; broken invariants are recorded and not raised."""
+    digest, rng = Digest(), random.Random(2000 + seed)
+    members = tuple(f"{name}/1" for name in "abcde")
+    voters = GroupConfiguration(members[: rng.choice((1, 3, 3, 5))])
+    invariants, saved, now_ms = Invariants(strict=False), PersistedGroup(), 0.0
+    for restart in range(6):
+        state_machine = RowStateMachine()
         replica = recorded_replica(digest)(
             "g",
-            names[0],
+            members[0],
             saved,
-            machine,
-            SHORT,
-            random.Random(seed * 10 + life),
-            rules,
-            now,
-            voters if life % 5 < 4 else None,
+            state_machine,
+            SMALL_LIMITS,
+            random.Random(seed * 10 + restart),
+            invariants,
+            now_ms,
+            voters if restart % 5 < 4 else None,
         )
-        strangers, seqs = Strangers(draw, replica, names), list[int]()
-        strangers.friendly = seed % 2 == 1
+        messages, open_sequences = RandomMessages(rng, replica, members), list[int]()
+        messages.cooperative = seed % 2 == 1
         for _ in range(150):
-            now += draw.choice((0.0, 1.0, 5.0, 60.0, 300.0))
-            for effect in replica.handle(now, strangers.event(seqs)):
+            now_ms += rng.choice((0.0, 1.0, 5.0, 60.0, 300.0))
+            for effect in replica.handle(now_ms, messages.next_event(open_sequences)):
                 if isinstance(effect, PersistRecords):
-                    seqs.append(effect.sequence)
+                    open_sequences.append(effect.sequence)
                     saved = apply_write(saved, effect)
                 elif (
                     isinstance(effect, SendMessage)
-                    and strangers.friendly
-                    and (said := strangers.answer(effect))
+                    and messages.cooperative
+                    and (reply := messages.follower_reply(effect))
                 ):
-                    strangers.answers.append(said)
-        digest.add(replica.status(now))
+                    messages.pending_replies.append(reply)
+        digest.add(replica.status(now_ms))
         digest.add(saved_values(saved, "g"))
-        digest.add((rules.count, broken_values(rules)))
+        digest.add((invariants.count, broken_values(invariants)))
         if replica.stop_reason is not None:
-            saved, rules = PersistedGroup(), Invariants(strict=False)
+            saved, invariants = PersistedGroup(), Invariants(strict=False)
     check(f"replica-strangers-{seed}", digest)
 
 
-def test_a_group_that_is_forced() -> None:
+def test_forced_recovery() -> None:
     digest, config = Digest(), GroupConfiguration(("a/1", "b/1", "c/1"))
     saved = PersistedGroup(
         4,
@@ -413,16 +417,16 @@
         (LogEntry(4, 3, EntryKind.COMMAND, b"y"), LogEntry(5, 4, EntryKind.COMMAND, b"z")),
     )
     for lost in (("b/1", "c/1"), ("b/1",), (), ("c/1", "b/1"), ("b/1", "d/1")):
-        digest.add(saved_values(force_sole_voter(saved, "g", "a/1", lost, START), "g"))
+        digest.add(saved_values(force_sole_voter(saved, "g", "a/1", lost, START_MS), "g"))
     check("forced", digest)
 
 
-# Membership and founding
+# Membership and bootstrap
 # ----------------------------------------------------------------------------------------------
 
 
-class RecordedNet(MemberNetwork):
-    """A network of members whose effects go into a digest."""
+class RecordedNetwork(MemberNetwork):
+    """A network of members that adds their effects to a digest."""
 
     def __init__(self, count: int, seed: int, kind: str, digest: Digest) -> None:
         super().__init__(count, seed, kind)
@@ -433,8 +437,8 @@
         add_effects(self.digest, self.now, effects)
         super().carry(name, effects)
 
-    def look(self) -> None:
-        """Take in what each member believes."""
+    def record_views(self) -> None:
+        """Add each member's view of the cluster to the digest."""
         for name, node in self.nodes.items():
             if isinstance(node, Membership):
                 self.digest.add(
@@ -445,123 +449,134 @@
                         node.dead_for_ms(self.now),
                         node.ids(),
                         node.zones(),
-                        [node.state_of(one.name) for one in self.members],
+                        [node.state_of(member.name) for member in self.members],
                     )
                 )
 
 
-def trouble(net: RecordedNet, draw: random.Random, names: list[str]) -> None:
-    """One fault, or a mend."""
-    name, kind = draw.choice(names), draw.randint(0, 7)
-    cut = set(draw.sample(names, max(len(names) // 3, 1)))
-    if kind == 0:
-        net.delay = lambda a, b: None if draw.random() < 0.2 else draw.uniform(0.2, 60.0)
-    elif kind == 1:
-        net.delay = lambda a, b: None if (a in cut) != (b in cut) else draw.uniform(0.2, 2.0)
-    elif kind == 2:
-        net.delay = lambda a, b: None if a in cut and b not in cut else draw.uniform(0.2, 2.0)
-    elif kind == 3:
-        net.delay = lambda a, b: draw.uniform(0.2, 2.0) if draw.random() < 0.9 else draw.uniform(50.0, 400.0)
-    elif kind == 4 and name in net.nodes:
-        net.stop(name)
-    elif kind == 5 and name not in net.nodes:
-        net.start(name, wiped=draw.random() < 0.6)
-    elif kind == 6 and name in net.nodes and name not in net.frozen:
-        net.frozen[name] = []
-    elif kind == 7 and name in net.frozen:
-        net.thaw(name)
-
-
-def odd_gossip(draw: random.Random, ids: list[MemberId]) -> Any:
-    """A message of no member's."""
-    rumours = tuple(
-        GossipUpdate(
-            draw.choice((*ids, "zz/1")), draw.randint(0, 3), draw.randint(0, 3), draw.choice((*ids, ""))
+def inject_or_end_fault(network: RecordedNetwork, rng: random.Random, names: list[str]) -> None:
+    """Inject one random fault, or end one."""
+    name, fault_kind = rng.choice(names), rng.randint(0, 7)
+    partitioned = set(rng.sample(names, max(len(names) // 3, 1)))
+    if fault_kind == 0:
+        network.delay = lambda sender, recipient: None if rng.random() < 0.2 else rng.uniform(0.2, 60.0)
+    elif fault_kind == 1:
+        network.delay = lambda sender, recipient: (
+            None if (sender in partitioned) != (recipient in partitioned) else rng.uniform(0.2, 2.0)
+        )
+    elif fault_kind == 2:
+        network.delay = lambda sender, recipient: (
+            None if sender in partitioned and recipient not in partitioned else rng.uniform(0.2, 2.0)
         )
+    elif fault_kind == 3:
+        network.delay = lambda sender, recipient: (
+            rng.uniform(0.2, 2.0) if rng.random() < 0.9 else rng.uniform(50.0, 400.0)
+        )
+    elif fault_kind == 4 and name in network.nodes:
+        network.stop(name)
+    elif fault_kind == 5 and name not in network.nodes:
+        network.start(name, wiped=rng.random() < 0.6)
+    elif fault_kind == 6 and name in network.nodes and name not in network.frozen:
+        network.frozen[name] = []
+    elif fault_kind == 7 and name in network.frozen:
+        network.thaw(name)
+
+
+def random_gossip_message(rng: random.Random, ids: list[MemberId]) -> Any:
+    """A gossip message with arbitrary content."""
+    updates = tuple(
+        GossipUpdate(rng.choice((*ids, "zz/1")), rng.randint(0, 3), rng.randint(0, 3), rng.choice((*ids, "")))
         for _ in range(3)
     )
-    who, seq = draw.choice(ids), draw.randint(0, 9)
-    return draw.choice(
-        (Ping(seq, who, rumours, START), PingRequest(seq, who, rumours), Nack(seq, who, rumours))
+    target, seq = rng.choice(ids), rng.randint(0, 9)
+    return rng.choice(
+        (Ping(seq, target, updates, START_MS), PingRequest(seq, target, updates), Nack(seq, target, updates))
     )
 
 
 @pytest.mark.parametrize(
     ("count", "seed", "steps"), [(3, 1, 60), (3, 2, 60), (10, 3, 40), (10, 4, 40), (40, 5, 10)]
 )
-def test_members(count: int, seed: int, steps: int) -> None:
-    digest, draw = Digest(), random.Random(3000 + seed)
-    net = RecordedNet(count, seed, "membership", digest)
-    names = [one.name for one in net.members]
+def test_membership_under_random_faults(count: int, seed: int, steps: int) -> None:
+    digest, rng = Digest(), random.Random(3000 + seed)
+    network = RecordedNetwork(count, seed, "membership", digest)
+    names = [member.name for member in network.members]
     for name in names:
-        net.start(name)
-    for node in net.nodes.values():
-        node.learn_ids(net.ids.values())
-    net.run(1500.0)
+        network.start(name)
+    for node in network.nodes.values():
+        node.learn_ids(network.ids.values())
+    network.run(1500.0)
     for step in range(steps):
-        trouble(net, draw, names)
-        net.run(net.now + draw.uniform(200.0, 2500.0))
+        inject_or_end_fault(network, rng, names)
+        network.run(network.now + rng.uniform(200.0, 2500.0))
         if step % 4 == 0:
-            net.look()
-        up = [name for name in net.nodes if name not in net.frozen]
-        if up and draw.random() < 0.3:
-            net.give(
-                draw.choice(up),
+            network.record_views()
+        running = [name for name in network.nodes if name not in network.frozen]
+        if running and rng.random() < 0.3:
+            network.give(
+                rng.choice(running),
                 MessageReceived(
-                    draw.choice(list(net.ids.values())), odd_gossip(draw, list(net.ids.values()))
+                    rng.choice(list(network.ids.values())),
+                    random_gossip_message(rng, list(network.ids.values())),
                 ),
             )
-        if len(up) > 2 and draw.random() < 0.1:
-            leaver = draw.choice(up)
-            net.carry(leaver, net.nodes[leaver].leave())
-            net.run(net.now + 100.0)
-            net.stop(leaver)
-    net.look()
+        if len(running) > 2 and rng.random() < 0.1:
+            leaving = rng.choice(running)
+            network.carry(leaving, network.nodes[leaving].leave())
+            network.run(network.now + 100.0)
+            network.stop(leaving)
+    network.record_views()
     check(f"members-{count}-{seed}", digest)
 
 
 @pytest.mark.parametrize(("count", "seed"), [(1, 1), (3, 2), (3, 3), (7, 4), (12, 5)])
-def test_foundings(count: int, seed: int) -> None:
-    digest, draw = Digest(), random.Random(4000 + seed)
-    net = RecordedNet(count, seed, "founding", digest)
-    names = [one.name for one in net.members]
+def test_bootstrap_under_random_faults(count: int, seed: int) -> None:
+    digest, rng = Digest(), random.Random(4000 + seed)
+    network = RecordedNetwork(count, seed, "founding", digest)
+    names = [member.name for member in network.members]
     for name in names:
-        net.start(name, wiped=False)
+        network.start(name, wiped=False)
     for _ in range(25):
-        trouble(net, draw, names)
-        net.run(net.now + draw.uniform(50.0, 900.0))
-        if net.nodes and draw.random() < 0.4:
-            name, sender = draw.choice(list(net.nodes)), draw.choice(list(net.ids.values()))
-            message = draw.choice(
+        inject_or_end_fault(network, rng, names)
+        network.run(network.now + rng.uniform(50.0, 900.0))
+        if network.nodes and rng.random() < 0.4:
+            name, sender = rng.choice(list(network.nodes)), rng.choice(list(network.ids.values()))
+            message = rng.choice(
                 (IdentityQuery("a"), Announce("a", b""), ClusterFounded(b"junk"), Announce("b", b"\x91\x01"))
             )
-            if name not in net.frozen:
-                net.give(name, MessageReceived(sender, message))
-    net.delay = lambda a, b: 1.0
+            if name not in network.frozen:
+                network.give(name, MessageReceived(sender, message))
+    network.delay = lambda sender, recipient: 1.0
     for name in names:
-        if name in net.frozen:
-            net.thaw(name)
-        if name not in net.nodes:
-            net.start(name)
-    net.run(net.now + 15_000.0)
-    for node in net.nodes.values():
+        if name in network.frozen:
+            network.thaw(name)
+        if name not in network.nodes:
+            network.start(name)
+    network.run(network.now + 15_000.0)
+    for node in network.nodes.values():
         digest.add(
             (node.record, node.is_founder, None if node.error is None else (node.error.code, node.error))
         )
-        node.handle(net.now, StorageFailure(StorageFailed("", "full")))
+        node.handle(network.now, StorageFailure(StorageFailed("", "full")))
     check(f"founding-{count}-{seed}", digest)
 
 
-def test_placing_by_hash() -> None:
+def test_initial_placement_and_group_for_key() -> None:
     digest = Digest()
-    for members in (1, 2, 3, 5, 8, 20):
+    for member_count in (1, 2, 3, 5, 8, 20):
         record = BootstrapRecord(
-            "yard", "f0", "m000/1", tuple((f"{one.name}/1", one.zone) for one in members_of(members)), 8, 5
+            "yard",
+            "f0",
+            "m000/1",
+            tuple((f"{member.name}/1", member.zone) for member in members_of(member_count)),
+            8,
+            5,
         )
         digest.add(initial_placement(record))
-        digest.add([replica_count(copies, members) for copies in range(1, 8)])
+        digest.add([replica_count(replication_factor, member_count) for replication_factor in range(1, 8)])
     digest.add(
-        [group_for_key(f"{kind}:{at}", 8) for kind in "tsp" for at in range(200)] + [group_for_key("", 3)]
+        [group_for_key(f"{key_kind}:{number}", 8) for key_kind in "tsp" for number in range(200)]
+        + [group_for_key("", 3)]
     )
     check("placing", digest)
 
@@ -569,321 +584,338 @@
 # State machine parts
 # --------------------------------------------------------------------------------------------------
 
-WHO = tuple(f"m{at:03}/{at}" for at in range(6))
-GATEWAYS = tuple(f"m{at:03}" for at in range(6))
+MEMBER_IDS = tuple(f"m{number:03}/{number}" for number in range(6))
+GATEWAYS = tuple(f"m{number:03}" for number in range(6))
 HOLDERS = tuple(
-    holder_id(who, boot, begun) for who in WHO[:3] for boot, begun in (("b1", "1"), ("b1", "2"), ("", "3"))
+    holder_id(member, boot_id, process)
+    for member in MEMBER_IDS[:3]
+    for boot_id, process in (("b1", "1"), ("b1", "2"), ("", "3"))
 )
 SERVERS = ("alpha", "beta", "gamma", "delta")
-FLOORS = tuple(f"c{at}" for at in range(6))
+CONTRACT_NAMES = tuple(f"c{number}" for number in range(6))
 
 
-class Calls:
-    """Draws commands, likely ones and faulty ones."""
+class RandomCommands:
+    """Generates random commands, valid and invalid ones."""
 
     def __init__(self, seed: int) -> None:
-        self.draw, self.made, self.at = random.Random(seed), 0, START
-        self.numbers: list[int] = [0, 1]
-        self.stamp = 0  # of the roll under way
+        self.rng, self.id_count, self.wall_ms = random.Random(seed), 0, START_MS
+        self.lease_numbers: list[int] = [0, 1]
+        self.restart_version = 0  # the version of the rolling restart in progress
 
-    def id(self) -> str:
-        self.made += 1
-        return f"i{self.made if self.draw.random() < 0.97 else max(self.made - 5, 1)}"
+    def next_id(self) -> str:
+        self.id_count += 1
+        return f"i{self.id_count if self.rng.random() < 0.97 else max(self.id_count - 5, 1)}"
 
-    def number(self) -> int:
+    def lease_number(self) -> int:
         return (
-            self.draw.choice(self.numbers[-8:])
-            if self.draw.random() < 0.9
-            else self.draw.choice((-1, 0, 7, 1 << 60))
+            self.rng.choice(self.lease_numbers[-8:])
+            if self.rng.random() < 0.9
+            else self.rng.choice((-1, 0, 7, 1 << 60))
         )
 
-    def figure(self, most: float) -> float:
+    def amount(self, maximum: float) -> float:
         return (
-            self.draw.uniform(0.0, most) if self.draw.random() < 0.97 else self.draw.choice((-1.0, 0.0, 1e12))
+            self.rng.uniform(0.0, maximum) if self.rng.random() < 0.97 else self.rng.choice((-1.0, 0.0, 1e12))
         )
 
-    def terms(self) -> ContractTerms:
-        draw = self.draw
-        begin = self.at + draw.choice((500.0, 3000.0, 12_000.0, 20_000.0, 60_000.0, -100.0))
-        length = draw.choice((0.0, 2000.0, 5000.0, 15_000.0, 15_000.0))
-        windows = [Window(begin, begin + length)]
-        if draw.random() < 0.3:
+    def contract_terms(self) -> ContractTerms:
+        rng = self.rng
+        begin_ms = self.wall_ms + rng.choice((500.0, 3000.0, 12_000.0, 20_000.0, 60_000.0, -100.0))
+        length_ms = rng.choice((0.0, 2000.0, 5000.0, 15_000.0, 15_000.0))
+        windows = [Window(begin_ms, begin_ms + length_ms)]
+        if rng.random() < 0.3:
             windows = [
                 Window(
-                    begin, begin + length, length + draw.choice((1000.0, 30_000.0, -10.0)), begin + 90_000.0
+                    begin_ms,
+                    begin_ms + length_ms,
+                    length_ms + rng.choice((1000.0, 30_000.0, -10.0)),
+                    begin_ms + 90_000.0,
                 )
             ]
-        if draw.random() < 0.1:
-            windows.append(Window(begin + draw.choice((0.0, 100_000.0)), begin + 120_000.0))
-        if draw.random() < 0.02:
+        if rng.random() < 0.1:
+            windows.append(Window(begin_ms + rng.choice((0.0, 100_000.0)), begin_ms + 120_000.0))
+        if rng.random() < 0.02:
             windows = []
         return ContractTerms(
-            draw.choice(("ta", "tb", "tc", "t d") if draw.random() < 0.1 else ("ta", "tb")),
-            tuple(draw.sample(range(20), draw.randint(1, 3))) if draw.random() < 0.97 else (1, 1),
-            self.figure(60.0),
-            self.figure(40.0),
+            rng.choice(("ta", "tb", "tc", "t d") if rng.random() < 0.1 else ("ta", "tb")),
+            tuple(rng.sample(range(20), rng.randint(1, 3))) if rng.random() < 0.97 else (1, 1),
+            self.amount(60.0),
+            self.amount(40.0),
             tuple(windows),
-            draw.choice(("", "", "a", "b")),
-            draw.random() < 0.7,
-            draw.choice((1, 2, 5, 9)) if draw.random() < 0.98 else 12,
+            rng.choice(("", "", "a", "b")),
+            rng.random() < 0.7,
+            rng.choice((1, 2, 5, 9)) if rng.random() < 0.98 else 12,
         )
 
-    def contract(self) -> str:
-        return self.draw.choice(FLOORS) if self.draw.random() < 0.97 else "not a name"
+    def contract_name(self) -> str:
+        return self.rng.choice(CONTRACT_NAMES) if self.rng.random() < 0.97 else "not a name"
 
-    def fleet(self) -> Command:
-        draw = self.draw
-        kind = draw.randint(0, 23)
+    def cluster_command(self) -> Command:
+        rng = self.rng
+        kind = rng.randint(0, 23)
         if kind == 0:
             return SetCapacity(
-                id=self.id(),
-                capacity=self.figure(400.0),
-                reserve_fraction=draw.choice((0.0, 0.2, 0.2, 1.5)),
-                unreserved_rate=self.figure(30.0),
-                zones={"a": 80.0, "b": self.figure(200.0)},
+                id=self.next_id(),
+                capacity=self.amount(400.0),
+                reserve_fraction=rng.choice((0.0, 0.2, 0.2, 1.5)),
+                unreserved_rate=self.amount(30.0),
+                zones={"a": 80.0, "b": self.amount(200.0)},
             )
         if kind < 6:
             return ProposeContract(
-                id=self.id(), contract=f"{self.contract()}{draw.choice(('', '-x', '-y'))}", terms=self.terms()
+                id=self.next_id(),
+                contract=f"{self.contract_name()}{rng.choice(('', '-x', '-y'))}",
+                terms=self.contract_terms(),
             )
         if kind == 6:
             return ChangeContract(
-                id=self.id(),
-                contract=self.contract(),
-                terms=self.terms(),
-                effective_from_ms=self.at + draw.choice((100.0, 5000.0, 9000.0, -1.0)),
+                id=self.next_id(),
+                contract=self.contract_name(),
+                terms=self.contract_terms(),
+                effective_from_ms=self.wall_ms + rng.choice((100.0, 5000.0, 9000.0, -1.0)),
             )
         if kind == 7:
-            return CancelContract(id=self.id(), contract=self.contract())
+            return CancelContract(id=self.next_id(), contract=self.contract_name())
         if kind in (8, 9):
-            return VersionDrained(id=self.id(), contract=self.contract(), version=draw.randint(0, 30))
+            return VersionDrained(
+                id=self.next_id(), contract=self.contract_name(), version=rng.randint(0, 30)
+            )
         if kind in (10, 11):
             return ReportShortfall(
-                id=self.id(),
-                contract=self.contract(),
-                reporter=draw.choice(GATEWAYS),
-                cause=draw.choice("xyz"),
-                units=self.figure(50.0),
-                since_ms=self.at - 1000.0,
+                id=self.next_id(),
+                contract=self.contract_name(),
+                reporter=rng.choice(GATEWAYS),
+                cause=rng.choice("xyz"),
+                units=self.amount(50.0),
+                since_ms=self.wall_ms - 1000.0,
             )
         if kind in (12, 13):
-            return AdvanceContracts(id=self.id())
+            return AdvanceContracts(id=self.next_id())
         if kind == 14:
-            name = draw.choice(GATEWAYS)
+            name = rng.choice(GATEWAYS)
             return EnrolMember(
-                id=self.id(), name=name, who=f"{name}/{draw.randint(0, 8)}", zone=draw.choice("ab")
+                id=self.next_id(), name=name, who=f"{name}/{rng.randint(0, 8)}", zone=rng.choice("ab")
             )
         if kind == 15:
             return ReplaceReplica(
-                id=self.id(),
-                group=f"g{draw.randint(0, 4)}",
-                lost=draw.choice((*WHO, "")),
-                new=draw.choice((*WHO, "")),
-                most=draw.randint(0, 3),
+                id=self.next_id(),
+                group=f"g{rng.randint(0, 4)}",
+                lost=rng.choice((*MEMBER_IDS, "")),
+                new=rng.choice((*MEMBER_IDS, "")),
+                most=rng.randint(0, 3),
             )
         if kind == 16:
             return ReplicaMoved(
-                id=self.id(),
-                group=f"g{draw.randint(0, 4)}",
-                number=draw.randint(0, 40),
-                voters=tuple(draw.sample(WHO, draw.randint(1, 4))),
-                behind=tuple(draw.sample(WHO, 1)),
+                id=self.next_id(),
+                group=f"g{rng.randint(0, 4)}",
+                number=rng.randint(0, 40),
+                voters=tuple(rng.sample(MEMBER_IDS, rng.randint(1, 4))),
+                behind=tuple(rng.sample(MEMBER_IDS, 1)),
             )
         if kind == 17:
-            return CancelMove(id=self.id(), group=f"g{draw.randint(0, 4)}", new=draw.choice(WHO), why="w")
-        return self.roll()
+            return CancelMove(
+                id=self.next_id(), group=f"g{rng.randint(0, 4)}", new=rng.choice(MEMBER_IDS), why="w"
+            )
+        return self.restart_command()
 
-    def facts(self) -> ClusterConditions:
-        draw = self.draw
+    def conditions(self) -> ClusterConditions:
+        rng = self.rng
         return ClusterConditions(
-            draw.choice((0, 0, 0, 1)),
-            draw.choice((1, 1, 0, -1)),
-            draw.choice((0, 0, 0, 1)),
-            draw.choice((-1.0, 50.0)),
-            draw.choice((10.0, 60.0)),
+            rng.choice((0, 0, 0, 1)),
+            rng.choice((1, 1, 0, -1)),
+            rng.choice((0, 0, 0, 1)),
+            rng.choice((-1.0, 50.0)),
+            rng.choice((10.0, 60.0)),
         )
 
-    def roll(self) -> Command:
-        draw, roll = self.draw, f"r{self.draw.randint(0, 3)}"
-        kind, name = draw.randint(0, 9), draw.choice(GATEWAYS)
+    def restart_command(self) -> Command:
+        rng, restart = self.rng, f"r{self.rng.randint(0, 3)}"
+        kind, name = rng.randint(0, 9), rng.choice(GATEWAYS)
         if kind in (0, 1):
             return StartRollingRestart(
-                id=self.id(),
-                restart=roll,
-                gateways=tuple(draw.sample(GATEWAYS, draw.randint(0, 3))),
-                zone=draw.choice(("", "", "", "a")),
+                id=self.next_id(),
+                restart=restart,
+                gateways=tuple(rng.sample(GATEWAYS, rng.randint(0, 3))),
+                zone=rng.choice(("", "", "", "a")),
                 reason="why",
-                at_once=draw.choice((1, 2, 0)),
-                deadline_ms=draw.choice((2000.0, 60_000.0, -1.0)),
-                after_drain=draw.choice(("restart", "hold", "sing")),
+                at_once=rng.choice((1, 2, 0)),
+                deadline_ms=rng.choice((2000.0, 60_000.0, -1.0)),
+                after_drain=rng.choice(("restart", "hold", "sing")),
                 warm_up_ms=500.0,
-                may_empty_zone=draw.random() < 0.3,
+                may_empty_zone=rng.random() < 0.3,
             )
         if kind == 2:
-            return CancelRollingRestart(id=self.id(), restart=roll)
+            return CancelRollingRestart(id=self.next_id(), restart=restart)
         if kind == 3:
             return ResumeGateway(
-                id=self.id(), restart=roll, gateway=draw.choice(("", name)), force=draw.random() < 0.3
+                id=self.next_id(), restart=restart, gateway=rng.choice(("", name)), force=rng.random() < 0.3
             )
         if kind == 4:
             return RecordRestartEvent(
-                id=self.id(),
-                restart=roll,
-                restart_version=draw.choice((self.stamp, self.stamp, 3)),
-                event=draw.choice(list(RestartEvent)).name,
+                id=self.next_id(),
+                restart=restart,
+                restart_version=rng.choice((self.restart_version, self.restart_version, 3)),
+                event=rng.choice(list(RestartEvent)).name,
                 cause="w",
                 order=GATEWAYS[:3],
                 member_count=6,
             )
         if kind == 5:
             return StartWave(
-                id=self.id(),
-                restart=roll,
-                restart_version=draw.choice((self.stamp, self.stamp, 3)),
+                id=self.next_id(),
+                restart=restart,
+                restart_version=rng.choice((self.restart_version, self.restart_version, 3)),
                 gateways=(name,),
-                conditions=self.facts(),
+                conditions=self.conditions(),
             )
         if kind in (6, 7):
             return RecordGatewayEvent(
-                id=self.id(),
-                restart=roll,
+                id=self.next_id(),
+                restart=restart,
                 gateway=name,
-                gateway_version=draw.randint(0, 2),
-                event=draw.choice(list(GatewayEvent)).name,
-                conditions=draw.choice((None, self.facts())),
-                restart_version=draw.choice((self.stamp, self.stamp, -1)),
+                gateway_version=rng.randint(0, 2),
+                event=rng.choice(list(GatewayEvent)).name,
+                conditions=rng.choice((None, self.conditions())),
+                restart_version=rng.choice((self.restart_version, self.restart_version, -1)),
             )
         return ReportGateway(
-            id=self.id(),
-            restart=roll,
+            id=self.next_id(),
+            restart=restart,
             gateway=name,
-            gateway_version=draw.randint(0, 2),
-            report=draw.choice((*(report.value for report in GatewayReport), "gone")),
-            process=draw.choice((name, f"{name}-2", "")),
+            gateway_version=rng.randint(0, 2),
+            report=rng.choice((*(report.value for report in GatewayReport), "gone")),
+            process=rng.choice((name, f"{name}-2", "")),
         )
 
-    def lease(self) -> Command:
-        draw = self.draw
+    def lease_command(self) -> Command:
+        rng = self.rng
         return RequestLease(
-            id=self.id(),
+            id=self.next_id(),
             tenant="ta",
-            contract=self.contract(),
-            holder=draw.choice((*WHO, "")[:7]),
-            lease_number=self.number(),
-            kept_rate=self.figure(20.0),
-            wanted_rate=self.figure(40.0),
-            returned_units=self.figure(10.0),
-            kept_depth=self.figure(20.0),
-            wanted_units=self.figure(5.0),
-            takes_spare=draw.random() < 0.3,
-            min_depth=self.figure(3.0),
-            draws_per_request=draw.random() < 0.3,
-            process=draw.choice(("", "p1", "p2")),
-            sequence=draw.randint(0, self.made),
+            contract=self.contract_name(),
+            holder=rng.choice((*MEMBER_IDS, "")[:7]),
+            lease_number=self.lease_number(),
+            kept_rate=self.amount(20.0),
+            wanted_rate=self.amount(40.0),
+            returned_units=self.amount(10.0),
+            kept_depth=self.amount(20.0),
+            wanted_units=self.amount(5.0),
+            takes_spare=rng.random() < 0.3,
+            min_depth=self.amount(3.0),
+            draws_per_request=rng.random() < 0.3,
+            process=rng.choice(("", "p1", "p2")),
+            sequence=rng.randint(0, self.id_count),
         )
 
-    def connection(self) -> Command:
-        draw, server = self.draw, self.draw.choice(SERVERS)
-        kind, where = draw.randint(0, 9), server_bucket(server)
+    def connection_command(self) -> Command:
+        rng, server = self.rng, self.rng.choice(SERVERS)
+        kind, bucket = rng.randint(0, 9), server_bucket(server)
         if kind == 0:
             return SetConnectionLimit(
-                id=self.id(),
+                id=self.next_id(),
                 server=server,
-                max_connections=draw.choice((1, 10, 25, 40, 0, MAX_LIMIT + 1)),
-                idle_timeout_ms=draw.choice((3000.0, 500.0, -1.0)),
+                max_connections=rng.choice((1, 10, 25, 40, 0, MAX_LIMIT + 1)),
+                idle_timeout_ms=rng.choice((3000.0, 500.0, -1.0)),
             )
-        if kind == 1 and draw.random() < 0.3:
-            return RemoveConnectionLimit(id=self.id(), server=server)
+        if kind == 1 and rng.random() < 0.3:
+            return RemoveConnectionLimit(id=self.next_id(), server=server)
         if kind == 2:
-            holder = draw.choice(HOLDERS)
+            holder = rng.choice(HOLDERS)
             return ReleaseConnectionLeases(
-                id=self.id(),
+                id=self.next_id(),
                 holder=holder,
-                bucket=where,
-                leases=(LeaseReference(server, self.number()),),
-                proof=draw.choice(("idle", "reset", "guess")),
-                reported_by=draw.choice(HOLDERS),
+                bucket=bucket,
+                leases=(LeaseReference(server, self.lease_number()),),
+                proof=rng.choice(("idle", "reset", "guess")),
+                reported_by=rng.choice(HOLDERS),
             )
-        asks = tuple(
-            ConnAsk(one, self.number(), draw.randint(0, 12), draw.randint(0, 30))
-            for one in SERVERS
-            if server_bucket(one) == where or draw.random() < 0.02
+        requests = tuple(
+            ConnectionLeaseRequest(
+                requested_server, self.lease_number(), rng.randint(0, 12), rng.randint(0, 30)
+            )
+            for requested_server in SERVERS
+            if server_bucket(requested_server) == bucket or rng.random() < 0.02
         )
         return RequestConnectionLeases(
-            id=self.id(),
-            holder=draw.choice(HOLDERS),
-            bucket=where,
-            requests=asks,
-            first_request=draw.random() < 0.2,
+            id=self.next_id(),
+            holder=rng.choice(HOLDERS),
+            bucket=bucket,
+            requests=requests,
+            first_request=rng.random() < 0.2,
         )
 
-    def tenant(self) -> Command:
-        draw = self.draw
-        if draw.random() < 0.4:
-            return self.connection()
-        kind = draw.randint(0, 15)
+    def tenant_command(self) -> Command:
+        rng = self.rng
+        if rng.random() < 0.4:
+            return self.connection_command()
+        kind = rng.randint(0, 15)
         if kind < 2:
-            begin = self.at + draw.choice((0.0, -100.0, 2000.0))
+            begin_ms = self.wall_ms + rng.choice((0.0, -100.0, 2000.0))
             return OpenContract(
-                id=self.id(),
+                id=self.next_id(),
                 tenant="ta",
-                contract=self.contract(),
-                version=draw.randint(0, 12),
-                rate=self.figure(60.0),
-                burst=self.figure(30.0),
+                contract=self.contract_name(),
+                version=rng.randint(0, 12),
+                rate=self.amount(60.0),
+                burst=self.amount(30.0),
                 intervals=(
-                    Interval(begin, begin + 20_000.0),
-                    Interval(begin + 30_000.0, begin + 60_000.0),
+                    Interval(begin_ms, begin_ms + 20_000.0),
+                    Interval(begin_ms + 30_000.0, begin_ms + 60_000.0),
                 ),
-                effective_from_ms=self.at + draw.choice((0.0, 4000.0)),
+                effective_from_ms=self.wall_ms + rng.choice((0.0, 4000.0)),
             )
         if kind < 8:
-            return self.lease()
+            return self.lease_command()
         if kind < 10:
-            first = int(self.at / 5.0)
+            first_slice = int(self.wall_ms / 5.0)
             return ReportUsage(
-                id=self.id(),
+                id=self.next_id(),
                 tenant="ta",
-                contract=self.contract(),
-                reporter=draw.choice(GATEWAYS),
+                contract=self.contract_name(),
+                reporter=rng.choice(GATEWAYS),
                 slices=tuple(
-                    UsageSlice(first - draw.randint(0, 500), self.figure(4.0), draw.uniform(0.0, 2.0))
-                    for _ in range(draw.randint(1, 8))
+                    UsageSlice(first_slice - rng.randint(0, 500), self.amount(4.0), rng.uniform(0.0, 2.0))
+                    for _ in range(rng.randint(1, 8))
                 ),
             )
         if kind == 10:
             return ReleaseLease(
-                id=self.id(),
+                id=self.next_id(),
                 tenant="ta",
-                contract=self.contract(),
-                holder=draw.choice(WHO),
-                lease_number=self.number(),
+                contract=self.contract_name(),
+                holder=rng.choice(MEMBER_IDS),
+                lease_number=self.lease_number(),
             )
         if kind == 11:
-            return SwitchVersion(id=self.id(), tenant="ta", contract=self.contract())
-        batch = f"b{draw.randint(0, 40)}"
+            return SwitchVersion(id=self.next_id(), tenant="ta", contract=self.contract_name())
+        batch = f"b{rng.randint(0, 40)}"
         if kind == 12:
             return PutValue(
-                id=self.id(), name=draw.choice(("x", "y", "z", "")), value=draw.choice(("1", "2", "v" * 1025))
+                id=self.next_id(),
+                name=rng.choice(("x", "y", "z", "")),
+                value=rng.choice(("1", "2", "v" * 1025)),
             )
         if kind == 13:
-            lines = tuple(UsageLine(f"n{at}", self.figure(9.0), 1000.0) for at in range(draw.randint(0, 3)))
+            lines = tuple(
+                UsageLine(f"n{number}", self.amount(9.0), 1000.0) for number in range(rng.randint(0, 3))
+            )
             return RecordUsage(
-                id=batch, tenant=draw.choice(("ta", "tb")), debtor=draw.choice(WHO), lines=lines
+                id=batch, tenant=rng.choice(("ta", "tb")), debtor=rng.choice(MEMBER_IDS), lines=lines
             )
         if kind == 14:
-            return ClaimUsage(id=self.id(), tenant="ta", batch=batch, reporter=draw.choice(WHO))
+            return ClaimUsage(id=self.next_id(), tenant="ta", batch=batch, reporter=rng.choice(MEMBER_IDS))
         return ConfirmUsageReported(
-            id=self.id(),
+            id=self.next_id(),
             tenant="ta",
             batch=batch,
-            reporter=draw.choice(WHO),
-            outcome_known=draw.random() < 0.5,
+            reporter=rng.choice(MEMBER_IDS),
+            outcome_known=rng.random() < 0.5,
         )
 
 
-def reads(group: str) -> list[Command]:
-    """Every query of a group."""
+def queries_of(group: str) -> list[Command]:
+    """Every query that a group answers."""
     if group == FLEET:
         return [
             ReadContracts(id="q"),
@@ -901,103 +933,112 @@
     ]
 
 
-def view_of(draw: random.Random, now: float, wall: float, since: float) -> LeaderView:
-    """What a leader may look at."""
-    dead = {who: draw.choice((500.0, 4000.0, 50_000.0)) for who in WHO if draw.random() < 0.12}
+def random_leader_view(rng: random.Random, now_ms: float, wall_ms: float, lead_since_ms: float) -> LeaderView:
+    """A random view for the leader's tasks."""
+    dead_for_ms = {
+        member: rng.choice((500.0, 4000.0, 50_000.0)) for member in MEMBER_IDS if rng.random() < 0.12
+    }
     return LeaderView(
-        now,
-        wall,
-        WHO[0],
-        since,
+        now_ms,
+        wall_ms,
+        MEMBER_IDS[0],
+        lead_since_ms,
         TIMINGS,
-        frozenset(who for who in WHO if who not in dead),
-        dead,
-        {name: "ab"[at % 2] for at, name in enumerate(GATEWAYS)},
-        {"capacity": 200.0, "demand": draw.uniform(0.0, 150.0)},
-        {"g0": WHO[:3], "g1": WHO[2:5], FLEET: WHO[:3]},
-        {"g0": (draw.choice(WHO),)} if draw.random() < 0.1 else {},
+        frozenset(member for member in MEMBER_IDS if member not in dead_for_ms),
+        dead_for_ms,
+        {name: "ab"[position % 2] for position, name in enumerate(GATEWAYS)},
+        {"capacity": 200.0, "demand": rng.uniform(0.0, 150.0)},
+        {"g0": MEMBER_IDS[:3], "g1": MEMBER_IDS[2:5], FLEET: MEMBER_IDS[:3]},
+        {"g0": (rng.choice(MEMBER_IDS),)} if rng.random() < 0.1 else {},
     )
 
 
-class Applier:
-    """A group's state, driven by commands, with a copy that is restored from its snapshots."""
+class RecordedGroupState:
+    """A group's state machine, driven by commands; its results and its state go into a digest."""
 
     def __init__(self, group: str, digest: Digest) -> None:
-        self.group, self.digest, self.index, self.now = group, digest, 0, 1000.0
-        self.rules = Invariants(strict=False)
-        self.state = self.fresh()
+        self.group, self.digest, self.index, self.now_ms = group, digest, 0, 1000.0
+        self.invariants = Invariants(strict=False)
+        self.machine = self.new_state_machine()
 
-    def fresh(self) -> GroupStateMachine:
-        made = GroupStateMachine(self.group, TIMINGS, self.rules)
+    def new_state_machine(self) -> GroupStateMachine:
+        machine = GroupStateMachine(self.group, TIMINGS, self.invariants)
         if self.group == FLEET:
-            made.parts["placing"].initialize(
+            machine.parts["placing"].initialize(
                 BootstrapRecord(
-                    "yard", "f0", WHO[0], tuple((who, "ab"[at % 2]) for at, who in enumerate(WHO[:5])), 4, 3
+                    "yard",
+                    "f0",
+                    MEMBER_IDS[0],
+                    tuple((member, "ab"[position % 2]) for position, member in enumerate(MEMBER_IDS[:5])),
+                    4,
+                    3,
                 )
             )
-        return made
+        return machine
 
     def apply(self, at_ms: float, command: Command) -> Any:
         self.index += 1
-        result = self.state.apply(self.now, self.index, encode_command(at_ms, command))
+        result = self.machine.apply(self.now_ms, self.index, encode_command(at_ms, command))
         self.digest.add(
             (at_ms, command_values(command), command.key(), command.validate(), applied_values(result))
         )
         return result
 
-    def look(self) -> None:
-        for command in reads(self.group):
-            self.digest.add(applied_values(self.state.query(command)))
-        add_state(self.digest, self.state)
-        self.digest.add((self.rules.count, broken_values(self.rules)))
+    def record_state(self) -> None:
+        for command in queries_of(self.group):
+            self.digest.add(applied_values(self.machine.query(command)))
+        add_state(self.digest, self.machine)
+        self.digest.add((self.invariants.count, broken_values(self.invariants)))
 
-    def swap(self) -> None:
-        body = self.state.dump()
-        self.state = self.fresh()
-        self.state.restore(self.now, body)
+    def restore_from_snapshot(self) -> None:
+        body = self.machine.dump()
+        self.machine = self.new_state_machine()
+        self.machine.restore(self.now_ms, body)
 
 
 @pytest.mark.parametrize("group", [FLEET, "g0"])
 @pytest.mark.parametrize("seed", range(8))
-def test_a_group_state_through_drawn_commands(group: str, seed: int) -> None:
-    digest, calls = Digest(), Calls(5000 + seed)
-    applier, draw = Applier(group, digest), calls.draw
+def test_group_state_under_random_commands(group: str, seed: int) -> None:
+    digest, commands = Digest(), RandomCommands(5000 + seed)
+    group_state, rng = RecordedGroupState(group, digest), commands.rng
     if group == FLEET:
-        applier.apply(
-            calls.at,
+        group_state.apply(
+            commands.wall_ms,
             SetCapacity(
                 id="cap", capacity=200.0, reserve_fraction=0.1, unreserved_rate=10.0, zones={"a": 100.0}
             ),
         )
     for step in range(500):
-        passed = draw.choice((0.0, 5.0, 40.0, 300.0, 1500.0))
-        calls.at, applier.now = calls.at + passed, applier.now + passed
-        rolls = applier.state.parts.get("rolls")
-        if isinstance(rolls, RollingRestarts) and rolls.active is not None:
-            calls.stamp = rolls.active.version
-        result = applier.apply(calls.at, calls.fleet() if group == FLEET else calls.tenant())
+        elapsed_ms = rng.choice((0.0, 5.0, 40.0, 300.0, 1500.0))
+        commands.wall_ms, group_state.now_ms = commands.wall_ms + elapsed_ms, group_state.now_ms + elapsed_ms
+        rolling_restarts = group_state.machine.parts.get("rolls")
+        if isinstance(rolling_restarts, RollingRestarts) and rolling_restarts.active is not None:
+            commands.restart_version = rolling_restarts.active.version
+        result = group_state.apply(
+            commands.wall_ms, commands.cluster_command() if group == FLEET else commands.tenant_command()
+        )
         value = result.value
         if isinstance(value, dict):
-            calls.numbers += [part[1] for part in value.get("parts", []) if part[1] > 0]
-            calls.numbers += [value["number"]] if isinstance(value.get("number"), int) else []
+            commands.lease_numbers += [part[1] for part in value.get("parts", []) if part[1] > 0]
+            commands.lease_numbers += [value["number"]] if isinstance(value.get("number"), int) else []
         elif isinstance(value, list) and value and isinstance(value[0], int):
-            calls.numbers.append(value[0])
+            commands.lease_numbers.append(value[0])
         if step % 4 == 0:
-            for command in applier.state.leader_tasks(
-                view_of(draw, applier.now, calls.at, applier.now - 9000.0)
+            for command in group_state.machine.leader_tasks(
+                random_leader_view(rng, group_state.now_ms, commands.wall_ms, group_state.now_ms - 9000.0)
             ):
                 digest.add(command_values(command))
-                if draw.random() < 0.7:
-                    applier.apply(calls.at, command)
+                if rng.random() < 0.7:
+                    group_state.apply(commands.wall_ms, command)
         if step % 60 == 59:
-            applier.look()
+            group_state.record_state()
             if step % 120 == 119:
-                applier.swap()
-    digest.add(applied_values(applier.state.apply(0.0, applier.index + 1, b"\x01")))
+                group_state.restore_from_snapshot()
+    digest.add(applied_values(group_state.machine.apply(0.0, group_state.index + 1, b"\x01")))
     check(f"state-{group}-{seed}", digest)
 
 
-def test_commands_from_operators() -> None:
+def test_operator_commands_and_timings() -> None:
     digest = Digest()
     for name, fields in (
         ("Promise", {"id": "1", "name": "x", "value": "y"}),
@@ -1006,8 +1047,8 @@
         ("Nothing", {}),
         ("RollAsk", {"id": "1", "roll": "r", "at_once": 0}),
     ):
-        made = parse_command(name, dict(fields))
-        digest.add(command_values(made) if isinstance(made, Command) else made)
+        command = parse_command(name, dict(fields))
+        digest.add(command_values(command) if isinstance(command, Command) else command)
     for timings in (
         TIMINGS,
         Timings(heartbeat_ms=0.0),
@@ -1021,84 +1062,87 @@
     check("operators", digest)
 
 
-@pytest.mark.parametrize("even", [True, False])
-def test_a_divided_whole(even: bool) -> None:
-    digest, draw, rules = Digest(), random.Random(6000), Invariants(strict=False)
+@pytest.mark.parametrize("even_split", [True, False])
+def test_lease_pool(even_split: bool) -> None:
+    digest, rng, invariants = Digest(), random.Random(6000), Invariants(strict=False)
     for case in range(6):
-        divided = LeasePool(
-            100.0, depth=draw.choice((0.0, 50.0)), step=draw.choice((0.0, 1.0)), even_split=even
+        pool = LeasePool(
+            100.0, depth=rng.choice((0.0, 50.0)), step=rng.choice((0.0, 1.0)), even_split=even_split
         )
-        now = 0.0
+        now_ms = 0.0
         for step in range(200):
-            now += draw.choice((0.0, 10.0, 200.0))
-            divided.accrue(START + now)
-            who = draw.choice(WHO)
-            held = divided.leases.get(who)
-            number = held.number if held is not None and draw.random() < 0.9 else draw.choice((0, 0, 3))
-            keep = (
-                held.share * draw.choice((0.0, 0.5, 1.0, 1.0))
-                if held is not None
-                else draw.choice((0.0, 0.0, 3.0))
+            now_ms += rng.choice((0.0, 10.0, 200.0))
+            pool.accrue(START_MS + now_ms)
+            holder = rng.choice(MEMBER_IDS)
+            lease = pool.leases.get(holder)
+            lease_number = lease.number if lease is not None and rng.random() < 0.9 else rng.choice((0, 0, 3))
+            kept = (
+                lease.share * rng.choice((0.0, 0.5, 1.0, 1.0))
+                if lease is not None
+                else rng.choice((0.0, 0.0, 3.0))
             )
-            cap = held.depth if held is not None else 0.0
+            lease_depth = lease.depth if lease is not None else 0.0
             digest.add(
-                divided.request(
+                pool.request(
                     LeaseRequest(
-                        who,
-                        number,
-                        keep,
-                        draw.choice((0.0, 5.0, 30.0, 80.0)),
-                        cap * draw.choice((0.0, 0.0, 0.3)),
-                        cap * draw.choice((0.0, 0.5, 0.7)),
-                        draw.choice((0.0, 0.0, 4.0)),
-                        draw.random() < 0.3,
-                        draw.choice((0.0, 1.0)),
-                        draw.random() < 0.3,
+                        holder,
+                        lease_number,
+                        kept,
+                        rng.choice((0.0, 5.0, 30.0, 80.0)),
+                        lease_depth * rng.choice((0.0, 0.0, 0.3)),
+                        lease_depth * rng.choice((0.0, 0.5, 0.7)),
+                        rng.choice((0.0, 0.0, 4.0)),
+                        rng.random() < 0.3,
+                        rng.choice((0.0, 1.0)),
+                        rng.random() < 0.3,
                     ),
-                    rules,
+                    invariants,
                 )
             )
-            digest.add([divided.excess(one) for one in divided.leases])
+            digest.add([pool.excess(lease_holder) for lease_holder in pool.leases])
             digest.add(
                 (
-                    divided.fair_share(who, 30.0),
-                    divided.fair_share(who, 20.0, True, True),
-                    divided.capacity,
-                    divided.granted(),
+                    pool.fair_share(holder, 30.0),
+                    pool.fair_share(holder, 20.0, True, True),
+                    pool.capacity,
+                    pool.granted(),
                 )
             )
-            divided.mark_seen(now)
+            pool.mark_seen(now_ms)
             if step % 25 == 24:
-                divided.resize(draw.uniform(40.0, 140.0), draw.choice((0.0, 30.0, 60.0)))
-                digest.add(divided.expired(now, 400.0, now - 900.0))
-                for gone, last in divided.expired(now, 400.0, now - 900.0):
-                    digest.add(divided.release(gone, last))
-                digest.add(divided.release(who, 0))
-                digest.add(divided.dump())
-                divided = LeasePool.load(divided.dump())
-        digest.add((case, rules.count))
-    check(f"divided-{even}", digest)
-
-
-def test_shares() -> None:
-    digest, draw, share, now = Digest(), random.Random(7000), CapacityShares(), 0.0
+                pool.resize(rng.uniform(40.0, 140.0), rng.choice((0.0, 30.0, 60.0)))
+                digest.add(pool.expired(now_ms, 400.0, now_ms - 900.0))
+                for expired_holder, expired_number in pool.expired(now_ms, 400.0, now_ms - 900.0):
+                    digest.add(pool.release(expired_holder, expired_number))
+                digest.add(pool.release(holder, 0))
+                digest.add(pool.dump())
+                pool = LeasePool.load(pool.dump())
+        digest.add((case, invariants.count))
+    check(f"divided-{even_split}", digest)
+
+
+def test_capacity_shares() -> None:
+    digest, rng, shares, now_ms = Digest(), random.Random(7000), CapacityShares(), 0.0
     for step in range(800):
-        now += draw.choice((0.0, 3.0, 40.0))
+        now_ms += rng.choice((0.0, 3.0, 40.0))
         if step % 20 == 0:
             digest.add(
-                share.update(
-                    now,
-                    draw.uniform(0.0, 120.0),
+                shares.update(
+                    now_ms,
+                    rng.uniform(0.0, 120.0),
                     [
-                        ShareClaim(
-                            f"c{at}", draw.choice((1, 2, 3)), draw.uniform(0.0, 50.0), draw.uniform(0.0, 50.0)
+                        CapacityClaim(
+                            f"c{number}",
+                            rng.choice((1, 2, 3)),
+                            rng.uniform(0.0, 50.0),
+                            rng.uniform(0.0, 50.0),
                         )
-                        for at in range(draw.randint(0, 5))
+                        for number in range(rng.randint(0, 5))
                     ],
                 )
             )
-        digest.add(share.admit(now, draw.choice(("", "c0", "c1", "c3", "c9")), draw.uniform(0.5, 4.0)))
-    digest.add(share.buckets)
+        digest.add(shares.admit(now_ms, rng.choice(("", "c0", "c1", "c3", "c9")), rng.uniform(0.5, 4.0)))
+    digest.add(shares.buckets)
     check("shares", digest)
 
 
@@ -1106,223 +1150,248 @@
 # --------------------------------------------------------------------------------------------------------------
 
 
-class Clients:
-    """Several gateways' sides of leases and rolls against the states of a fleet's group and of another."""
+class SimulatedClients:
+    """The lease clients or restart agents of several gateways, with the state machines of two groups.
+
+    One group is the cluster's own, the other holds the tenants' data.
+    """
 
     def __init__(self, seed: int, digest: Digest) -> None:
-        self.draw, self.digest, self.now = random.Random(8000 + seed), digest, 1000.0
-        self.states = {group: Applier(group, digest) for group in (FLEET, "g0")}
-        self.holders: list[Any] = []
-        self.late: list[tuple[float, Any, Command, Any]] = []
+        self.rng, self.digest, self.now_ms = random.Random(8000 + seed), digest, 1000.0
+        self.groups = {group: RecordedGroupState(group, digest) for group in (FLEET, "g0")}
+        self.clients: list[Any] = []
+        self.pending_answers: list[tuple[float, Any, Command, Any]] = []
 
     @property
-    def wall(self) -> float:
-        return START + self.now
+    def wall_ms(self) -> float:
+        return START_MS + self.now_ms
 
     def apply(self, command: Command) -> Any:
-        applier = self.states[FLEET if not command.key() else "g0"]
-        applier.now = self.now
+        group_state = self.groups[FLEET if not command.key() else "g0"]
+        group_state.now_ms = self.now_ms
         if command.reads:
-            result = applier.state.query(command)
+            result = group_state.machine.query(command)
             self.digest.add((command_values(command), applied_values(result)))
             return result
-        return applier.apply(self.wall, command)
+        return group_state.apply(self.wall_ms, command)
 
-    def call(self, holder: Any, command: Command) -> None:
-        """Make a holder's call, which may be lost on its way, or its answer."""
-        chance = self.draw.random()
+    def call(self, client: Any, command: Command) -> None:
+        """Make a client's call; the call or its answer may be lost."""
+        chance = self.rng.random()
         if chance < 0.03:
             result: Any = NoLeader("g", "nobody leads")
         else:
             result = self.apply(command)
             if chance < 0.06:
                 result = UnknownOutcome("g", "no answer")
-        self.late.append((self.now + self.draw.choice((1.0, 5.0, 30.0, 200.0)), holder, command, result))
+        self.pending_answers.append(
+            (self.now_ms + self.rng.choice((1.0, 5.0, 30.0, 200.0)), client, command, result)
+        )
 
-    def work(self) -> None:
-        view = view_of(self.draw, self.now, self.wall, 0.0)
-        for applier in self.states.values():
-            applier.now = self.now
-            for command in applier.state.leader_tasks(view):
+    def run_leader_tasks(self) -> None:
+        view = random_leader_view(self.rng, self.now_ms, self.wall_ms, 0.0)
+        for group_state in self.groups.values():
+            group_state.now_ms = self.now_ms
+            for command in group_state.machine.leader_tasks(view):
                 self.apply(command)
 
-    def go(self, ms: float) -> None:
-        """Time goes on; answers arrive, calls are made."""
-        self.now += ms
-        arrived, self.late = (
-            [one for one in self.late if one[0] <= self.now],
-            [one for one in self.late if one[0] > self.now],
+    def advance(self, elapsed_ms: float) -> None:
+        """Advance the time, deliver answers that are due, and make the clients' calls."""
+        self.now_ms += elapsed_ms
+        due_answers, self.pending_answers = (
+            [answer for answer in self.pending_answers if answer[0] <= self.now_ms],
+            [answer for answer in self.pending_answers if answer[0] > self.now_ms],
         )
-        for _, holder, command, result in arrived:
-            holder.answered(self.now, command, result)
-        for holder in self.holders:
-            for command in holder.poll(self.now, self.wall):
-                self.call(holder, command)
+        for _, client, command, result in due_answers:
+            client.answered(self.now_ms, command, result)
+        for client in self.clients:
+            for command in client.poll(self.now_ms, self.wall_ms):
+                self.call(client, command)
 
 
-def floors_step(
-    clients: Clients, floors: list[ReservationClient], held: list[tuple[ReservationClient, ReservedUnits]]
+def draw_units(
+    clients: SimulatedClients,
+    lease_clients: list[ReservationClient],
+    reserved: list[tuple[ReservationClient, ReservedUnits]],
 ) -> None:
-    """Requests at some gateways."""
-    draw, digest, now = clients.draw, clients.digest, clients.now
-    for floor in floors:
-        for _ in range(draw.choice((0, 0, 1, 3))):
-            customer, units = draw.randint(0, 8), draw.choice((1.0, 1.0, 2.5))
-            got = floor.take(now, customer, units)
-            digest.add(got)
-            if got is not None:
-                held.append((floor, got))
-            elif draw.random() < 0.7:
-                digest.add(floor.wait(now, customer, units, f"w{customer}"))
-        digest.add(floor.finished_waits(now))
-        digest.add((floor.idle_rate(now), floor.held_rate(now), floor.due))
-    if held and draw.random() < 0.1:
-        floor, got = held.pop(draw.randrange(len(held)))
-        floor.failed(now, got, draw.choice(("overload", "timeout")))
+    """Draw units for random requests at some gateways."""
+    rng, digest, now_ms = clients.rng, clients.digest, clients.now_ms
+    for lease_client in lease_clients:
+        for _ in range(rng.choice((0, 0, 1, 3))):
+            customer, units = rng.randint(0, 8), rng.choice((1.0, 1.0, 2.5))
+            reserved_units = lease_client.take(now_ms, customer, units)
+            digest.add(reserved_units)
+            if reserved_units is not None:
+                reserved.append((lease_client, reserved_units))
+            elif rng.random() < 0.7:
+                digest.add(lease_client.wait(now_ms, customer, units, f"w{customer}"))
+        digest.add(lease_client.finished_waits(now_ms))
+        digest.add((lease_client.idle_rate(now_ms), lease_client.held_rate(now_ms), lease_client.due))
+    if reserved and rng.random() < 0.1:
+        lease_client, reserved_units = reserved.pop(rng.randrange(len(reserved)))
+        lease_client.failed(now_ms, reserved_units, rng.choice(("overload", "timeout")))
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_floors_of_gateways(seed: int) -> None:
+def test_reservation_clients(seed: int) -> None:
     digest = Digest()
-    clients = Clients(seed, digest)
-    floors = [ReservationClient(who, f"p{at}", TIMINGS, "ab"[at % 2], 3) for at, who in enumerate(WHO[:3])]
-    clients.holders += floors
+    clients = SimulatedClients(seed, digest)
+    lease_clients = [
+        ReservationClient(member, f"p{position}", TIMINGS, "ab"[position % 2], 3)
+        for position, member in enumerate(MEMBER_IDS[:3])
+    ]
+    clients.clients += lease_clients
     clients.apply(SetCapacity(id="cap", capacity=200.0, reserve_fraction=0.1, unreserved_rate=10.0))
-    begin = clients.wall
-    for at, (rate, rank) in enumerate(((30.0, 1), (60.0, 5), (15.0, 9))):
+    begin_ms = clients.wall_ms
+    for position, (rate, rank) in enumerate(((30.0, 1), (60.0, 5), (15.0, 9))):
         clients.apply(
             ProposeContract(
-                id=f"p{at}",
-                contract=f"c{at}",
+                id=f"p{position}",
+                contract=f"c{position}",
                 terms=ContractTerms(
                     "ta",
-                    (3 * at, 3 * at + 1, 3 * at + 2),
+                    (3 * position, 3 * position + 1, 3 * position + 2),
                     rate,
                     20.0,
-                    (Window(begin + 1500.0, begin + 9000.0), Window(begin + 12_000.0, begin + 15_000.0)),
+                    (
+                        Window(begin_ms + 1500.0, begin_ms + 9000.0),
+                        Window(begin_ms + 12_000.0, begin_ms + 15_000.0),
+                    ),
                     rank=rank,
                 ),
             )
         )
-    held: list[tuple[ReservationClient, ReservedUnits]] = []
+    reserved: list[tuple[ReservationClient, ReservedUnits]] = []
     for step in range(1300):
-        quiet = 350 < step < 450 or (seed == 3 and step % 400 > 300)
-        busy = floors[:1] if 500 < step < 650 else floors
-        floors_step(clients, [] if quiet else busy, held)
-        clients.go(clients.draw.choice((3.0, 8.0, 20.0)))
+        is_idle = 350 < step < 450 or (seed == 3 and step % 400 > 300)
+        active_clients = lease_clients[:1] if 500 < step < 650 else lease_clients
+        draw_units(clients, [] if is_idle else active_clients, reserved)
+        clients.advance(clients.rng.choice((3.0, 8.0, 20.0)))
         if step % 8 == 0:
-            clients.work()
+            clients.run_leader_tasks()
         if step == 200:
             clients.apply(
                 ChangeContract(
                     id="ch",
                     contract="c1",
-                    effective_from_ms=clients.wall + 5000.0,
+                    effective_from_ms=clients.wall_ms + 5000.0,
                     terms=ContractTerms(
-                        "ta", (3, 4, 5, 6), 40.0, 10.0, (Window(begin + 1500.0, begin + 9000.0),), rank=5
+                        "ta",
+                        (3, 4, 5, 6),
+                        40.0,
+                        10.0,
+                        (Window(begin_ms + 1500.0, begin_ms + 9000.0),),
+                        rank=5,
                     ),
                 )
             )
         if step == 420:
             clients.apply(CancelContract(id="ca", contract="c2"))
         if step == 700:
-            floors[2] = ReservationClient(WHO[2], "again", TIMINGS, "a", 3)
-            clients.holders[2] = floors[2]
+            lease_clients[2] = ReservationClient(MEMBER_IDS[2], "again", TIMINGS, "a", 3)
+            clients.clients[2] = lease_clients[2]
         if step % 100 == 99:
-            digest.add([floor.status(clients.now) for floor in floors])
-            for applier in clients.states.values():
-                applier.look()
+            digest.add([lease_client.status(clients.now_ms) for lease_client in lease_clients])
+            for group_state in clients.groups.values():
+                group_state.record_state()
     check(f"floors-{seed}", digest)
 
 
-def connections_step(
-    draw: random.Random, now: float, keeper: ConnectionLeaseHolder, is_open: dict[str, int], digest: Digest
+def open_and_close_connections(
+    rng: random.Random,
+    now_ms: float,
+    lease_holder: ConnectionLeaseHolder,
+    open_counts: dict[str, int],
+    digest: Digest,
 ) -> None:
-    """One gateway opens and closes."""
+    """Open and close random connections at one gateway."""
     for server in SERVERS:
-        need = draw.choice((0, 2, 5, 12)) if draw.random() < 0.1 else -1
+        need = rng.choice((0, 2, 5, 12)) if rng.random() < 0.1 else -1
         if need >= 0:
-            keeper.set_need(server, need)
-        may = keeper.may_open(now, server)
-        digest.add((server, may, keeper.lease_valid(now, server)))
-        if may and draw.random() < 0.6:
-            keeper.opened(now, server)
-            is_open[server] = is_open.get(server, 0) + 1
-        elif is_open.get(server, 0) and draw.random() < 0.1:
-            keeper.closing(server)
-            keeper.closed(server, begun=True)
-            is_open[server] -= 1
-    must = keeper.excess(now)
-    digest.add(must)
-    for server, count in must:
+            lease_holder.set_need(server, need)
+        may_open = lease_holder.may_open(now_ms, server)
+        digest.add((server, may_open, lease_holder.lease_valid(now_ms, server)))
+        if may_open and rng.random() < 0.6:
+            lease_holder.opened(now_ms, server)
+            open_counts[server] = open_counts.get(server, 0) + 1
+        elif open_counts.get(server, 0) and rng.random() < 0.1:
+            lease_holder.closing(server)
+            lease_holder.closed(server, begun=True)
+            open_counts[server] -= 1
+    excess = lease_holder.excess(now_ms)
+    digest.add(excess)
+    for server, count in excess:
         for _ in range(count):
-            keeper.closing(server)
-            keeper.closed(server, begun=True)
-            is_open[server] -= 1
-    digest.add(keeper.empty)
+            lease_holder.closing(server)
+            lease_holder.closed(server, begun=True)
+            open_counts[server] -= 1
+    digest.add(lease_holder.empty)
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_connections_of_gateways(seed: int) -> None:
+def test_connection_lease_holders(seed: int) -> None:
     digest = Digest()
-    clients = Clients(100 + seed, digest)
-    draw, rules = clients.draw, Invariants(strict=False)
-    keepers = [
-        ConnectionLeaseHolder(holder_id(who, "b1", "1"), TIMINGS, rules, clients.now) for who in WHO[:4]
+    clients = SimulatedClients(100 + seed, digest)
+    rng, invariants = clients.rng, Invariants(strict=False)
+    lease_holders = [
+        ConnectionLeaseHolder(holder_id(member, "b1", "1"), TIMINGS, invariants, clients.now_ms)
+        for member in MEMBER_IDS[:4]
     ]
-    opened: list[dict[str, int]] = [{} for _ in keepers]
-    clients.holders += keepers
-    for at, server in enumerate(SERVERS[:3]):
+    open_counts_by_holder: list[dict[str, int]] = [{} for _ in lease_holders]
+    clients.clients += lease_holders
+    for position, server in enumerate(SERVERS[:3]):
         clients.apply(
             SetConnectionLimit(
-                id=f"l{at}", server=server, max_connections=12 + 7 * at, idle_timeout_ms=3000.0
+                id=f"l{position}", server=server, max_connections=12 + 7 * position, idle_timeout_ms=3000.0
             )
         )
     for step in range(700):
-        for keeper, is_open in zip(keepers, opened, strict=True):
-            connections_step(draw, clients.now, keeper, is_open, digest)
-        clients.go(draw.choice((10.0, 40.0, 120.0)))
+        for lease_holder, open_counts in zip(lease_holders, open_counts_by_holder, strict=True):
+            open_and_close_connections(rng, clients.now_ms, lease_holder, open_counts, digest)
+        clients.advance(rng.choice((10.0, 40.0, 120.0)))
         if step % 10 == 0:
-            clients.work()
+            clients.run_leader_tasks()
         if step % 120 == 60:
             clients.apply(
                 SetConnectionLimit(
                     id=f"m{step}",
-                    server=draw.choice(SERVERS[:3]),
-                    max_connections=draw.randint(6, 30),
+                    server=rng.choice(SERVERS[:3]),
+                    max_connections=rng.randint(6, 30),
                     idle_timeout_ms=2000.0,
                 )
             )
         if step % 150 == 149:
-            again = draw.randrange(4)
-            keepers[again] = ConnectionLeaseHolder(
-                holder_id(WHO[again], draw.choice(("b1", "b2")), str(step)),
+            restarted = rng.randrange(4)
+            lease_holders[restarted] = ConnectionLeaseHolder(
+                holder_id(MEMBER_IDS[restarted], rng.choice(("b1", "b2")), str(step)),
                 TIMINGS,
-                rules,
-                clients.now,
+                invariants,
+                clients.now_ms,
                 only_process=True,
             )
-            keepers[again].need_multiple = draw.choice((1.0, 1.5))
-            clients.holders[again], opened[again] = keepers[again], {}
+            lease_holders[restarted].need_multiple = rng.choice((1.0, 1.5))
+            clients.clients[restarted], open_counts_by_holder[restarted] = lease_holders[restarted], {}
         if step == 500:
-            keepers[0].draining = True
+            lease_holders[0].draining = True
             clients.apply(RemoveConnectionLimit(id="un", server=SERVERS[0]))
         if step % 70 == 69:
-            connections = clients.states["g0"].state.parts["connections"]
+            connections = clients.groups["g0"].machine.parts["connections"]
             assert isinstance(connections, ConnectionLimits)
             digest.add(connections.summary())
-            clients.states["g0"].look()
-    digest.add([list(keeper.servers_without_limit) for keeper in keepers])
+            clients.groups["g0"].record_state()
+    digest.add([list(lease_holder.servers_without_limit) for lease_holder in lease_holders])
     check(f"connections-{seed}", digest)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_rolls_of_gateways(seed: int) -> None:
+def test_rolling_restart_agents(seed: int) -> None:
     digest = Digest()
-    clients = Clients(200 + seed, digest)
-    draw, moved = clients.draw, list[int]()
-    sides = [RollingRestartAgent(name, f"{name}-1", 6, lambda: moved.append(1)) for name in GATEWAYS[:5]]
-    clients.holders += sides
+    clients = SimulatedClients(200 + seed, digest)
+    rng, phase_changes = clients.rng, list[int]()
+    agents = [
+        RollingRestartAgent(name, f"{name}-1", 6, lambda: phase_changes.append(1)) for name in GATEWAYS[:5]
+    ]
+    clients.clients += agents
     clients.apply(
         StartRollingRestart(
             id="ask",
@@ -1336,78 +1405,78 @@
         )
     )
     for step in range(900):
-        for at, side in enumerate(sides):
-            drained = side.paused
-            side.observe(
-                groups_led=0 if draw.random() < 0.8 else 1,
-                trimmed=draw.random() < 0.8,
+        for position, agent in enumerate(agents):
+            drained = agent.paused
+            agent.observe(
+                groups_led=0 if rng.random() < 0.8 else 1,
+                trimmed=rng.random() < 0.8,
                 drained=drained,
-                empty=draw.random() < 0.6 and seed != 6,
-                copies_complete=draw.random() < 0.7,
+                empty=rng.random() < 0.6 and seed != 6,
+                copies_complete=rng.random() < 0.7,
             )
-            duties = side.next_actions(clients.now)
+            actions = agent.next_actions(clients.now_ms)
             digest.add(
                 (
-                    duties,
-                    side.phase,
-                    side.concerns_this_process,
-                    side.must_not_lead,
-                    side.need_multiple,
-                    side.due,
-                    len(moved),
+                    actions,
+                    agent.phase,
+                    agent.concerns_this_process,
+                    agent.must_not_lead,
+                    agent.need_multiple,
+                    agent.due,
+                    len(phase_changes),
                 )
             )
-            if duties and draw.random() < 0.3:
-                sides[at] = clients.holders[at] = RollingRestartAgent(
-                    side.gateway, f"{side.gateway}-{step}", 6, lambda: moved.append(1)
+            if actions and rng.random() < 0.3:
+                agents[position] = clients.clients[position] = RollingRestartAgent(
+                    agent.gateway, f"{agent.gateway}-{step}", 6, lambda: phase_changes.append(1)
                 )
-            elif side.phase in (GatewayPhase.PAUSING, GatewayPhase.EMPTYING):
-                side.paused = True
-            elif side.phase is None or side.phase in (GatewayPhase.RETURNING, GatewayPhase.UNDOING):
-                side.paused = False
-        clients.go(draw.choice((20.0, 60.0, 150.0)))
+            elif agent.phase in (GatewayPhase.PAUSING, GatewayPhase.EMPTYING):
+                agent.paused = True
+            elif agent.phase is None or agent.phase in (GatewayPhase.RETURNING, GatewayPhase.UNDOING):
+                agent.paused = False
+        clients.advance(rng.choice((20.0, 60.0, 150.0)))
         if step % 3 == 0:
-            clients.work()
+            clients.run_leader_tasks()
         if step == 400 and seed in (2, 6):
             clients.apply(ResumeGateway(id="res", restart="r", force=True))
         if step == (150 if seed == 3 else 800):
             clients.apply(CancelRollingRestart(id="can", restart="r"))
         if step % 90 == 89:
-            clients.states[FLEET].look()
+            clients.groups[FLEET].record_state()
     check(f"rolls-{seed}", digest)
 
 
-def test_the_least_time_of_a_roll() -> None:
-    digest, draw = Digest(), random.Random(9000)
+def test_minimum_duration_of_a_rolling_restart() -> None:
+    digest, rng = Digest(), random.Random(9000)
     for _ in range(60):
-        groups = {f"g{at}": tuple(draw.sample(GATEWAYS, 3)) for at in range(4)}
-        halls = {name: draw.choice("ab") for name in GATEWAYS}
+        groups = {f"g{number}": tuple(rng.sample(GATEWAYS, 3)) for number in range(4)}
+        zones = {name: rng.choice("ab") for name in GATEWAYS}
         digest.add(
             minimum_duration_ms(
-                draw.sample(GATEWAYS, 4), groups, halls, draw.randint(1, 4), draw.random(), 1000.0
+                rng.sample(GATEWAYS, 4), groups, zones, rng.randint(1, 4), rng.random(), 1000.0
             )
         )
     check("least-roll", digest)
 
 
-# Simulated worlds
+# Simulated clusters
 # -----------------------------------------------------------------------------------------------------
 
 
-def recorded_world(digest: Digest) -> Callable[[Any], FleetWorld]:
-    """Makes worlds whose nodes go into a digest."""
+def recorded_cluster(digest: Digest) -> Callable[[Any], FleetWorld]:
+    """A factory for simulated clusters that add their nodes' events and effects to a digest."""
 
-    class Recorded(RecordedNode):
+    class RecordedClusterNode(RecordedNode):
         pass
 
-    Recorded.digest = digest
-    return lambda plan: FleetWorld(plan, Recorded)
+    RecordedClusterNode.digest = digest
+    return lambda plan: FleetWorld(plan, RecordedClusterNode)
 
 
-@pytest.mark.parametrize("full", ["full", "slow-disk"])
-def test_a_world_with_bad_disks(full: str) -> None:
+@pytest.mark.parametrize("disk_fault", ["full", "slow-disk"])
+def test_simulated_cluster_with_disk_faults(disk_fault: str) -> None:
     digest = Digest()
-    played = play(
+    result = play(
         Plan(
             31,
             4,
@@ -1415,66 +1484,88 @@
             length_ms=9000.0,
             snapshot_entries=20,
             faults=(
-                Fault(4000.0, full, "gateway", ((2,),), 200.0),
-                Fault(6000.0, full, "gateway", ((3,),), 90.0),
+                Fault(4000.0, disk_fault, "gateway", ((2,),), 200.0),
+                Fault(6000.0, disk_fault, "gateway", ((3,),), 90.0),
             ),
         ),
-        recorded_world(digest),
+        recorded_cluster(digest),
     )
-    digest.add(played.plain())
-    check(f"world-{full}", digest)
+    digest.add(result.plain())
+    check(f"world-{disk_fault}", digest)
 
 
-def answers_of(node: ClusterNode, digest: Digest, now: float, event: NodeEvent) -> None:
-    """One event for a node; what comes of it goes into the digest by itself."""
-    node.handle(now, START + now, event)
+def handle_and_record(node: ClusterNode, digest: Digest, now_ms: float, event: NodeEvent) -> None:
+    """Let a node handle one event, and add its status to the digest; the node adds its own effects."""
+    node.handle(now_ms, START_MS + now_ms, event)
     digest.add((node.due, node.status()))
 
 
-def test_a_node_alone() -> None:
-    digest, rules = Digest(), Invariants(strict=False)
+def test_single_node_cluster() -> None:
+    digest, invariants = Digest(), Invariants(strict=False)
 
-    class Recorded(RecordedNode):
+    class RecordedSingleNode(RecordedNode):
         pass
 
-    Recorded.digest = digest
+    RecordedSingleNode.digest = digest
     members = members_of(1)
-    node = Recorded(
-        NodeSetup("yard", "m000", "1", members, 1, 2, TIMINGS, 100.0), {}, random.Random(1), 0.0, START, rules
+    node = RecordedSingleNode(
+        NodeSetup("yard", "m000", "1", members, 1, 2, TIMINGS, 100.0),
+        {},
+        random.Random(1),
+        0.0,
+        START_MS,
+        invariants,
     )
-    now, seqs = 0.0, list[PersistRecords]()
-    answers_of(node, digest, now, ClusterCall("early", PutValue(id="e", name="n", value="v")))
+    now_ms, writes = 0.0, list[PersistRecords]()
+    handle_and_record(node, digest, now_ms, ClusterCall("early", PutValue(id="e", name="n", value="v")))
     for step in range(300):
-        now += 20.0
-        effects = list(node.handle(now, START + now, Tick()))
+        now_ms += 20.0
+        effects = list(node.handle(now_ms, START_MS + now_ms, Tick()))
         while effects:
-            seqs = [effect for effect in effects if isinstance(effect, PersistRecords)]
+            writes = [effect for effect in effects if isinstance(effect, PersistRecords)]
             effects = [
-                later
-                for one in seqs
-                for later in node.handle(now, START + now, RecordsPersisted(one.group, one.sequence))
+                next_effect
+                for write in writes
+                for next_effect in node.handle(
+                    now_ms, START_MS + now_ms, RecordsPersisted(write.group, write.sequence)
+                )
             ]
         if step % 10 == 9:
-            answers_of(
-                node, digest, now, ClusterCall(f"c{step}", PutValue(id=f"p{step}", name="n", value=f"{step}"))
+            handle_and_record(
+                node,
+                digest,
+                now_ms,
+                ClusterCall(f"c{step}", PutValue(id=f"p{step}", name="n", value=f"{step}")),
+            )
+            handle_and_record(
+                node, digest, now_ms, ClusterCall(f"r{step}", ReadValue(id=f"q{step}", name="n"))
+            )
+            handle_and_record(
+                node, digest, now_ms, ClusterCall(f"b{step}", PutValue(id=f"b{step}", name="", value=""))
             )
-            answers_of(node, digest, now, ClusterCall(f"r{step}", ReadValue(id=f"q{step}", name="n")))
-            answers_of(node, digest, now, ClusterCall(f"b{step}", PutValue(id=f"b{step}", name="", value="")))
-    good = encode_command(START, PutValue(id="far", name="n", value="w"))
-    bad = encode_command(START, PutValue(id="far", name="", value="w"))
-    for group, body in (("g0", b"junk"), ("g0", good), ("g1", good), ("g0", bad), ("g9", good)):
-        answers_of(node, digest, now, MessageReceived("m000/2", ForwardedCall(f"f{group}", group, body, 1)))
+    valid_command = encode_command(START_MS, PutValue(id="far", name="n", value="w"))
+    invalid_command = encode_command(START_MS, PutValue(id="far", name="", value="w"))
+    for group, body in (
+        ("g0", b"junk"),
+        ("g0", valid_command),
+        ("g1", valid_command),
+        ("g0", invalid_command),
+        ("g9", valid_command),
+    ):
+        handle_and_record(
+            node, digest, now_ms, MessageReceived("m000/2", ForwardedCall(f"f{group}", group, body, 1))
+        )
     for token, body in (("x.1", b""), ("nodigits", b""), ("b9.1", b"\x93\xc0\xc0\xa0")):
-        answers_of(node, digest, now, MessageReceived("m000/2", ForwardedReply(token, body)))
-    answers_of(node, digest, now, LeaveCluster("leave"))
+        handle_and_record(node, digest, now_ms, MessageReceived("m000/2", ForwardedReply(token, body)))
+    handle_and_record(node, digest, now_ms, LeaveCluster("leave"))
     for _ in range(100):
-        now += 50.0
-        node.handle(now, START + now, Tick())
-    answers_of(node, digest, now, StorageFailure(StorageFailed("yard", "the disk is full")))
-    answers_of(node, digest, now, ClusterCall("late", PutValue(id="late", name="n", value="v")))
+        now_ms += 50.0
+        node.handle(now_ms, START_MS + now_ms, Tick())
+    handle_and_record(node, digest, now_ms, StorageFailure(StorageFailed("yard", "the disk is full")))
+    handle_and_record(node, digest, now_ms, ClusterCall("late", PutValue(id="late", name="n", value="v")))
     for _ in range(100):
-        now += 50.0
-        node.handle(now, START + now, Tick())
+        now_ms += 50.0
+        node.handle(now_ms, START_MS + now_ms, Tick())
     check("node-alone", digest)
 
 
@@ -1492,83 +1583,88 @@
         (17, 5, "drains"),
     ],
 )
-def test_worlds(seed: int, members: int, kind: str) -> None:
+def test_simulated_clusters(seed: int, members: int, kind: str) -> None:
     digest = Digest()
-    played = play_seed(seed, members, kind, recorded_world(digest))
-    digest.add(played.plain())
-    digest.add(played.names)
+    result = play_seed(seed, members, kind, recorded_cluster(digest))
+    digest.add(result.plain())
+    digest.add(result.names)
     check(f"world-{kind}-{seed}", digest)
 
 
-def test_waves_of_a_roll_that_a_leader_may_not_begin() -> None:
-    digest, good = Digest(), ClusterConditions(0, 1, 0, -1.0, 10.0)
-    applier = Applier(FLEET, digest)
-    applier.apply(START, StartRollingRestart(id="ask", restart="r", gateways=GATEWAYS[:4], at_once=2))
-    rolls = applier.state.parts["rolls"]
-    assert isinstance(rolls, RollingRestarts) and rolls.active is not None
-    for turn, order in (
+def test_validation_of_proposed_waves() -> None:
+    digest, allowing_conditions = Digest(), ClusterConditions(0, 1, 0, -1.0, 10.0)
+    group_state = RecordedGroupState(FLEET, digest)
+    group_state.apply(START_MS, StartRollingRestart(id="ask", restart="r", gateways=GATEWAYS[:4], at_once=2))
+    rolling_restarts = group_state.machine.parts["rolls"]
+    assert isinstance(rolling_restarts, RollingRestarts) and rolling_restarts.active is not None
+    for event, order in (
         (RestartEvent.SEEN, ()),
         (RestartEvent.PLANNED, ()),
         (RestartEvent.PLANNED, GATEWAYS[:4]),
     ):
-        applier.apply(
-            START,
+        group_state.apply(
+            START_MS,
             RecordRestartEvent(
-                id=f"{turn.name}{len(order)}",
+                id=f"{event.name}{len(order)}",
                 restart="r",
-                restart_version=rolls.active.version,
-                event=turn.name,
+                restart_version=rolling_restarts.active.version,
+                event=event.name,
                 order=order,
                 member_count=6,
             ),
         )
-    waves = [(GATEWAYS[:3], good), (("nobody",), good), ((), good), (GATEWAYS[:2], good)]
+    waves = [
+        (GATEWAYS[:3], allowing_conditions),
+        (("nobody",), allowing_conditions),
+        ((), allowing_conditions),
+        (GATEWAYS[:2], allowing_conditions),
+    ]
     waves[:0] = [
-        (GATEWAYS[:1], facts)
-        for facts in (
+        (GATEWAYS[:1], conditions)
+        for conditions in (
             ClusterConditions(1, 1, 0, -1.0, 0.0),
             ClusterConditions(0, -1, 0, -1.0, 0.0),
             ClusterConditions(0, 1, 1, -1.0, 0.0),
             ClusterConditions(0, 1, 0, 5.0, 9.0),
         )
     ]
-    for at, (gateways, facts) in enumerate(waves):
-        for behind in (-1, 1, 0):
-            applier.apply(
-                START + at,
+    for position, (gateways, conditions) in enumerate(waves):
+        for versions_behind in (-1, 1, 0):
+            group_state.apply(
+                START_MS + position,
                 StartWave(
-                    id=f"w{at}/{behind}",
+                    id=f"w{position}/{versions_behind}",
                     restart="r",
                     gateways=gateways,
-                    conditions=facts,
-                    restart_version=rolls.active.version - behind,
+                    conditions=conditions,
+                    restart_version=rolling_restarts.active.version - versions_behind,
                 ),
             )
-    applier.look()
+    group_state.record_state()
     check("roll-waves", digest)
 
 
-def test_connections_are_closed_ahead_of_a_lease_that_is_not_renewed() -> None:
-    digest, clients = Digest(), Clients(300, Digest())
-    keeper = ConnectionLeaseHolder(
-        holder_id(WHO[0], "b1", "1"), TIMINGS, Invariants(strict=False), clients.now
+def test_connections_are_closed_before_an_unrenewed_lease_expires() -> None:
+    digest, clients = Digest(), SimulatedClients(300, Digest())
+    lease_holder = ConnectionLeaseHolder(
+        holder_id(MEMBER_IDS[0], "b1", "1"), TIMINGS, Invariants(strict=False), clients.now_ms
     )
-    server, now, before = SERVERS[0], clients.now, (False, False, 0)
+    server, now_ms, previous = SERVERS[0], clients.now_ms, (False, False, 0)
     clients.apply(SetConnectionLimit(id="l", server=server, max_connections=9, idle_timeout_ms=3000.0))
-    keeper.set_need(server, 3)
+    lease_holder.set_need(server, 3)
     for step in range(60_000):
-        now += 0.5
+        now_ms += 0.5
         if step < 4000:
-            for command in keeper.poll(now, START + now):
-                keeper.answered(now, command, clients.apply(command))
-            if step % 100 == 0 and keeper.may_open(now, server):
-                keeper.opened(now, server)
-        found = (
-            keeper.may_open(now, server),
-            keeper.lease_valid(now, server),
-            sum(n for _, n in keeper.excess(now)),
+            for command in lease_holder.poll(now_ms, START_MS + now_ms):
+                lease_holder.answered(now_ms, command, clients.apply(command))
+            if step % 100 == 0 and lease_holder.may_open(now_ms, server):
+                lease_holder.opened(now_ms, server)
+        current = (
+            lease_holder.may_open(now_ms, server),
+            lease_holder.lease_valid(now_ms, server),
+            sum(count for _, count in lease_holder.excess(now_ms)),
         )
-        if found != before:
-            digest.add((now, found))
-        before = found
+        if current != previous:
+            digest.add((now_ms, current))
+        previous = current
     check("connections-unrenewed", digest)
