--- a/badgeryoke/cluster/raft/node.py
+++ b/badgeryoke/cluster/raft/node.py
@@ -76,8 +76,8 @@
 
     @property
     def is_removed(self) -> bool:
-        """Whether the committed configuration lacks this member and an earlier one, committed since this process
-        started, contained it."""
+        """Whether the committed configuration lacks this member, although a committed one that this process has
+        known contained it."""
         config = self._log.config_at(self.commit_index)
         return (
             self._was_member
