--- a/badgeryoke/cluster/membership/failure_detector.py
+++ b/badgeryoke/cluster/membership/failure_detector.py
@@ -110,7 +110,7 @@
         self.next_period_at = now
 
     def stop(self) -> None:
-        """Stop pinging; indirect pings for other members go on."""
+        """Stop sending this member's own pings."""
         self.next_period_at = math.inf
         self._pings.clear()
 
