--- a/badgeryoke/cluster/leases/lease.py
+++ b/badgeryoke/cluster/leases/lease.py
@@ -1,6 +1,6 @@
-"""Leases on shares of a capacity that several holders divide: what is requested, granted and held.
+"""Leases on shares of a capacity that is divided between several holders: requests, grants and held leases.
 
-The capacity is a rate (units a second) or a number of connections; a bucket of units may go with it.
+The capacity is a rate (units a second) or a number of connections.  It may have a token bucket, in units.
 """
 
 from __future__ import annotations
@@ -12,35 +12,37 @@
 
 from badgeryoke.cluster.messages import MemberId
 
-EPSILON = 1e-9  # of amounts that are compared
+EPSILON = 1e-9  # tolerance in comparisons of amounts
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """Renew, shrink, grow or give back a lease.  To give it back is to keep and to want nothing.
+    """A request to renew, shrink, grow or return a lease.  A request that keeps and wants nothing returns it.
 
-    The holder has shrunk to what it keeps before it sends this."""
+    The holder reduces its use to the amounts it keeps before it sends the request."""
 
     holder: MemberId
-    lease_number: int  # of the lease it holds; 0: none
-    kept: float  # of its share
-    wanted: float  # the share it would like
-    returned_units: float  # that it has taken out of its bucket
-    kept_depth: float = 0.0  # of its bucket
+    lease_number: int  # of the lease that the holder has now; 0: none
+    kept_share: float  # the part of its current share that it keeps
+    wanted: float  # the share that it wants in total
+    returned_units: float  # already removed from its bucket
+    kept_depth: float = 0.0  # the part of its bucket's depth that it keeps
     wanted_units: float = 0.0  # for its bucket
-    takes_spare: bool = False  # it takes what nobody wants as well, until another wants it
-    min_depth: float = 0.0  # that its largest request needs
-    draws_per_request: bool = False  # it draws units as it needs them, and gets no share for what it wants
+    takes_spare: bool = False  # also takes capacity that nobody wants, until another holder wants it
+    min_depth: float = 0.0  # bucket depth that its largest request needs
+    draws_per_request: bool = False  # draws units for single requests, and gets no share for the wanted rate
 
     @property
     def returns_all(self) -> bool:
-        """Whether the lease is given back."""
-        return self.wanted <= 0.0 and self.kept <= 0.0 and self.kept_depth <= 0.0 and not self.takes_spare
+        """Whether the request returns the lease."""
+        return (
+            self.wanted <= 0.0 and self.kept_share <= 0.0 and self.kept_depth <= 0.0 and not self.takes_spare
+        )
 
     def is_within(self, share: float, depth: float) -> bool:
-        """Whether its amounts are valid for a holder that has a share and a bucket of a depth."""
+        """Whether the amounts are valid for a holder with this share and bucket depth."""
         return (
-            0.0 <= self.kept <= share + EPSILON
+            0.0 <= self.kept_share <= share + EPSILON
             and 0.0 <= self.wanted < math.inf
             and self.returned_units >= 0.0
             and 0.0 <= self.wanted_units < math.inf
@@ -51,18 +53,18 @@
 
     @property
     def wanted_share(self) -> float:
-        """What it wants a share for."""
+        """The wanted rate that is to be granted as a share."""
         return 0.0 if self.draws_per_request else self.wanted
 
     @property
     def wanted_draws(self) -> float:
-        """What it wants to draw without a share."""
+        """The wanted rate that is drawn per request, without a share."""
         return self.wanted if self.draws_per_request else 0.0
 
 
 @dataclass(slots=True)
 class LeaseShare:
-    """One holder's lease."""
+    """One holder's lease, as the pool records it."""
 
     number: int
     share: float
@@ -70,42 +72,43 @@
     depth: float = 0.0  # of its bucket
     takes_spare: bool = False
     draws_per_request: bool = False
-    # When this machine saw it applied, monotonic ms; it differs between replicas and is never dumped.
+    # When this machine applied the grant, monotonic ms.  It differs between replicas and is not in snapshots.
     seen_ms: float = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """What a holder has from here on.  It shrinks to `fair_share` and `fair_depth` before its next request."""
+    """A holder's lease after a request.  The holder shrinks to `fair_share` and `fair_depth` before its next
+    request."""
 
     number: int  # of the lease; 0: none
     share: float
-    units: float  # for its bucket, beside those it has
-    slack: float  # not granted to anybody
+    units: float  # to add to its bucket
+    slack: float  # capacity that is granted to nobody
     holders: int
     depth: float = 0.0  # of its bucket
     fair_share: float = 0.0
     fair_depth: float = 0.0
-    # What it may hold on to: its fair share, all that nobody wants, all that nobody lacks.
+    # The share it may keep: its fair share, plus capacity that nobody wants or that no holder is short of.
     max_share: float = 0.0
-    others_deficit: float = 0.0  # what others have less than they would if this one wanted nothing
+    others_deficit: float = 0.0  # how much the other holders are below their fair shares, in total
 
 
 @dataclass(slots=True)
 class LeaseSums:
-    """Sums over all leases, kept up to date with each change.  They are dumped to the last bit, as every
-    replica has to come to the same ones."""
+    """Running sums over all leases, updated with each change.  Snapshots hold them exactly, since all replicas
+    have to compute identical values."""
 
     shares: float = 0.0
-    wanted_shares: float = 0.0  # of those that want a share
+    wanted_shares: float = 0.0  # of holders that want a share
     depths: float = 0.0
-    spare_takers: float = 0.0  # a count
-    wanted_draws: float = 0.0  # of those that draw per request
-    changes: float = 0.0  # since all of it was summed afresh
+    spare_takers: float = 0.0  # number of holders that take spare capacity
+    wanted_draws: float = 0.0  # of holders that draw per request
+    changes: float = 0.0  # since the sums were last recomputed
 
     @classmethod
     def of(cls, leases: Iterable[LeaseShare]) -> LeaseSums:
-        """The sums, added up afresh."""
+        """The sums, computed from all leases."""
         leases = list(leases)
         return cls(
             sum(lease.share for lease in leases),
@@ -116,7 +119,7 @@
         )
 
     def add(self, lease: LeaseShare, sign: float = 1.0) -> None:
-        """Take a lease in; with a sign of -1, out."""
+        """Add a lease to the sums; with a sign of -1, subtract it."""
         self.shares += sign * lease.share
         if lease.draws_per_request:
             self.wanted_draws += sign * lease.wanted
@@ -127,10 +130,10 @@
         self.changes += 1.0
 
     def agrees_with(self, other: LeaseSums, tolerance: float) -> bool:
-        """Whether all sums are equal but for rounding; `changes` does not count."""
+        """Whether all sums are equal up to rounding; `changes` is not compared."""
         return all(
-            abs(mine - theirs) <= tolerance * max(1.0, abs(theirs))
-            for mine, theirs in zip(self.dump()[:-1], other.dump()[:-1], strict=True)
+            abs(left - right) <= tolerance * max(1.0, abs(right))
+            for left, right in zip(self.dump()[:-1], other.dump()[:-1], strict=True)
         )
 
     def dump(self) -> list[Any]:
--- a/badgeryoke/cluster/leases/lease_pool.py
+++ b/badgeryoke/cluster/leases/lease_pool.py
@@ -1,20 +1,21 @@
 """A capacity that is divided into leased shares: a contract's rate over gateways, a server's connections.
 
-A holder requests with what it keeps of its share from now on (it has shrunk to that *before* it requests),
-what it would like, and the number of the lease it holds.  Applied, the lease has a new number and the share
-that fits.  So the order is always: use less, give back, be granted, use more; and at every moment the shares
-granted sum to at most the capacity, each counted in full until its holder has said that it uses less or its
-lease has expired.
-
-The holder counts the time from *before* its request, by its own monotonic clock.  Whoever releases a lease
-counts from when it saw the grant applied, and longer by what two clocks may differ (`Timings.outlast`).  The
-request precedes the grant, so the lease has expired at its holder when it is released here, whatever froze
-or was cut off.
-
-A capacity may have a token bucket (`depth` units).  Its depth is divided as well: the depths of the holders'
-buckets and the units that nobody holds (`free_units`) sum to at most `depth`.  Units move by being given back
-(a holder's depth shrinks by at least as many) and granted on; what a lost holder had is gone, and is filled
-again at the rate.  So all holders together draw at most capacity * t + depth in any time t.
+A request states the part of its share that the holder keeps (the holder reduces its use to that *before* it
+sends the request), the share that it wants, and the number of its current lease.  When the request is applied,
+the lease gets a new number and the share that fits.  The order is therefore always: use less, return, be
+granted, use more.  At every moment the granted shares sum to at most the capacity; each share counts in full
+until its holder has reported that it uses less, or the lease has expired.
+
+The holder measures the lease time from *before* its request, by its own monotonic clock.  The leader that
+releases a lease measures from when it applied the grant, and waits longer by the possible difference between
+two clocks (`Timings.outlast`).  Since the request precedes the grant, the lease has already expired at its
+holder when the leader releases it, even if a process froze or the network was partitioned.
+
+A capacity may have a token bucket of `depth` units.  The depth is divided as well: the depths of the holders'
+buckets and the units in no bucket (`free_units`) sum to at most `depth`.  Units move between holders only by
+being returned (the holder's depth shrinks by at least as many) and granted again.  The units of a lost holder
+are discarded, and the bucket refills at the rate.  All holders together therefore draw at most
+capacity * t + depth units in any time t.
 
 Source: leases as in Gray and Cheriton, SOSP 1989.
 """
@@ -32,14 +33,14 @@
 from badgeryoke.cluster.messages import MemberId
 
 MAX_HOLDERS = 1024
-MAX_ACCRUAL_GAP_MS = 250.0  # of a longer gap in the group's time so much fills the bucket
-RESUM_CHANGES = 64  # after which the running sums are added up afresh and compared
-ROUNDING_TOLERANCE = 1e-6  # of sums over holders
-MAX_SPARE_TAKERS = 20  # that get a share of a rate nobody wants; each of them requests often
+MAX_ACCRUAL_GAP_MS = 250.0  # a longer gap in the group's time fills the bucket for this long only
+RECOMPUTE_AFTER_CHANGES = 64  # changes after which the running sums are recomputed and compared
+ROUNDING_TOLERANCE = 1e-6  # in comparisons of sums over holders
+MAX_SPARE_TAKERS = 20  # with more, a rate that nobody wants is granted to none: each taker renews often
 
 
 class NewShare(NamedTuple):
-    """What a request comes to: its fair share, the most that its holder may hold on to, and its share."""
+    """The shares that result from a request: the fair share, the maximum the holder may keep, and the grant."""
 
     fair_share: float
     max_share: float
@@ -47,7 +48,7 @@
 
 
 class NewBucket(NamedTuple):
-    """What a request comes to: its fair depth, its depth, and the units granted for its bucket."""
+    """The bucket that results from a request: the fair depth, the depth, and the units granted."""
 
     fair_depth: float
     depth: float
@@ -59,16 +60,16 @@
     """One capacity and its leases.
 
     `step`: shares are multiples of it (1 for connections).  `even_split`: where more is wanted than there
-    is, shares are max-min fair (connections); else in proportion to what is wanted (rates).  A lower target
-    takes nothing away at once: nothing is granted until as much was given back or has expired.
+    is, shares are max-min fair (connections); otherwise in proportion to the wanted rate (rates).
+    Lowering the target revokes no lease: nothing is granted until enough has been returned or has expired.
     """
 
-    target: float  # the capacity as it shall be
-    depth: float = 0.0  # of the bucket that goes with it, units; 0: none
+    target: float  # the configured capacity
+    depth: float = 0.0  # of the token bucket, units; 0: none
     step: float = 0.0
     leases: dict[MemberId, LeaseShare] = field(default_factory=dict)
     last_number: int = 0
-    free_units: float = -1.0  # of the bucket, held by nobody; below 0: all of `depth`
+    free_units: float = -1.0  # in no holder's bucket; below 0: all of `depth`
     even_split: bool = True
     accrued_until_ms: float = 0.0  # of the group's time
     sums: LeaseSums = field(init=False)
@@ -82,12 +83,12 @@
 
     @property
     def capacity(self) -> float:
-        """What the shares sum to at most now: above `target` while more than that is granted."""
+        """The current upper bound of the sum of shares; above `target` while more than that is granted."""
         return max(self.target, self.granted())
 
     @property
     def slack(self) -> float:
-        """What is granted to nobody; below 0 while more than the target is granted."""
+        """Capacity that is granted to nobody; below 0 while more than the target is granted."""
         return self.target - self.granted()
 
     def granted(self) -> float:
@@ -98,23 +99,23 @@
         return max(self.sums.depths, 0.0)
 
     def resize(self, target: float, depth: float) -> None:
-        """Set another target and depth; of a smaller bucket, units that nobody holds go first."""
+        """Set the target and depth; if the bucket shrinks, free units are discarded first."""
         self.target, self.depth = target, depth
         self._bound_free_units(self.free_units)
 
     def accrue(self, at_ms: float) -> None:
-        """What is granted to nobody fills the bucket as well, by the group's time."""
+        """Fill the free units at the rate that is granted to nobody, up to `at_ms` of the group's time."""
         gap_ms = min(max(at_ms - self.accrued_until_ms, 0.0), MAX_ACCRUAL_GAP_MS)
         self._bound_free_units(self.free_units + max(self.slack, 0.0) * gap_ms / 1000.0)
         self.accrued_until_ms = max(at_ms, self.accrued_until_ms)
 
     def _bound_free_units(self, free_units: float, reserved_depth: float = 0.0) -> None:
-        """Free units and all depths that holders have, or keep, are within the depth."""
+        """Limit the free units so that, with the depths that holders have or keep, they fit the depth."""
         free_depth = self.depth - self._granted_depth() - reserved_depth
         self.free_units = max(min(free_units, free_depth), 0.0)
 
     def grow(self, holder: MemberId, amount: float) -> None:
-        """Add to a holder's share, of what is granted to nobody."""
+        """Add to a holder's share, from the slack."""
         self.leases[holder].share += amount
         self.sums.shares += amount
 
@@ -122,8 +123,8 @@
     # ------------------------------------------------------------------------------------
 
     def request(self, request: LeaseRequest, rules: Invariants) -> LeaseGrant | InvalidCall | LeaseExpired:
-        """Apply a request; see `LeaseRequest`.  LeaseExpired: the lease it names is not in force;
-        InvalidCall: its figures are out of bounds, or there are too many holders."""
+        """Apply a request (see `LeaseRequest`).  Returns LeaseExpired if the lease that it names is not in
+        force, and InvalidCall if its amounts are out of bounds or there are too many holders."""
         lease = self.leases.get(request.holder)
         if (error := self._check_request(request, lease)) is not None:
             return error
@@ -131,15 +132,15 @@
         share_before = lease.share if lease is not None else 0.0
         if lease is not None:
             self._remove(request.holder)
-        # The units it gives back lay in the depth that it gives back, so depths and free units stay within
-        # the depth.
+        # The returned units were within the returned depth, so the sum of depths and free units does not
+        # grow.
         self._bound_free_units(self.free_units + request.returned_units, request.kept_depth)
         if request.returns_all:
             return LeaseGrant(0, 0.0, 0.0, self.slack, len(self.leases))
         new_share = self._new_share(request, share_before)
         new_bucket = self._new_bucket(request, is_new=lease is None)
         self._add_lease(request, new_share.share, new_bucket.depth)
-        self._sum_afresh(rules)
+        self._recompute_sums(rules)
         self._check_bounds(rules, granted_before, depth_before)
         return self._grant(request, new_share, new_bucket)
 
@@ -180,7 +181,7 @@
         if not request.is_within(share, depth):
             return InvalidCall(
                 request.holder,
-                f"keep {request.kept!r}, wish {request.wanted!r}, hold {request.kept_depth!r} "
+                f"keep {request.kept_share!r}, wish {request.wanted!r}, hold {request.kept_depth!r} "
                 f"or room {request.returned_units!r} is out of bounds",
             )
         if lease is None and len(self.leases) >= MAX_HOLDERS:
@@ -188,30 +189,31 @@
         return None
 
     def _new_share(self, request: LeaseRequest, share_before: float) -> NewShare:
-        """The holder's old lease was removed."""
+        """The share for a request; the holder's old lease is already removed."""
         fair_share = self.fair_share(
             request.holder, request.wanted, request.takes_spare, request.draws_per_request
         )
         takes_spare = request.takes_spare
         max_share = fair_share if not self.even_split or takes_spare else min(request.wanted, fair_share)
-        nobody_wants = self.sums.wanted_shares + request.wanted_share <= EPSILON
-        if takes_spare and (self.even_split or nobody_wants):  # to lend it
+        nothing_wanted = self.sums.wanted_shares + request.wanted_share <= EPSILON
+        if takes_spare and (self.even_split or nothing_wanted):  # the holder lends it to other customers
             draws = fair_shares.DRAW_MULTIPLE * (self.sums.wanted_draws + request.wanted_draws)
             max_share = max(max_share, self.target - self.sums.wanted_shares - draws)
-        # What it keeps stays its own even above a lower target: it was granted, and is in use.
-        share = max(min(max_share, max(self.slack, 0.0)), min(request.kept, share_before))
+        # The kept share stays granted even above a lowered target, because it is in use.
+        share = max(min(max_share, max(self.slack, 0.0)), min(request.kept_share, share_before))
         if self.step:
             share = int(share / self.step + EPSILON) * self.step
         return NewShare(fair_share, max_share, share)
 
     def _new_bucket(self, request: LeaseRequest, is_new: bool) -> NewBucket:
-        """The holder's old lease was removed; the units are not free any more."""
+        """The bucket for a request; the holder's old lease is already removed.  Takes the granted units from
+        the free ones."""
         holders, wanted_shares = len(self.leases), max(self.sums.wanted_shares, 0.0)
         fair_depth = fair_shares.fair_depth(self.depth, holders, request.wanted_share, wanted_shares)
         fair_depth = max(fair_depth, min(request.min_depth, self.depth))
         increase = max(fair_depth - request.kept_depth, 0.0)
-        alone = is_new and not self.leases  # all units are with it
-        wanted_units = max(request.wanted_units, fair_depth) if alone else request.wanted_units
+        is_sole_holder = is_new and not self.leases  # it may take all free units
+        wanted_units = max(request.wanted_units, fair_depth) if is_sole_holder else request.wanted_units
         units = min(self.free_units, wanted_units)
         free_depth = max(self.depth - self._granted_depth() - request.kept_depth - self.free_units, 0.0)
         self.free_units -= units
@@ -236,7 +238,7 @@
     def fair_share(
         self, holder: MemberId, wanted: float, takes_spare: bool = False, draws_per_request: bool = False
     ) -> float:
-        """What a holder is due beside what all others want; with what nobody wants where it takes that."""
+        """A holder's fair share, given what all others want; includes spare capacity if it takes that."""
         lease = self.leases.get(holder)
         others, others_wanted = len(self.leases), self.sums.wanted_shares
         draws_wanted = self.sums.wanted_draws + (wanted if draws_per_request else 0.0)
@@ -253,20 +255,20 @@
             ungranted = fair_shares.ungranted_rate(
                 self.target, wanted_share, others_wanted, max(draws_wanted, 0.0)
             )
-            left = self.target - ungranted
+            remaining = self.target - ungranted
             if wanted_share + others_wanted > EPSILON:
-                return left * wanted_share / (wanted_share + others_wanted)
-            # What nobody wants is held where it may be needed next, and lent there.
-            return left / spare_takers if takes_spare and spare_takers <= MAX_SPARE_TAKERS else 0.0
-        left = self.target - wanted - others_wanted
-        if left >= 0.0:
-            return wanted + left / (spare_takers if takes_spare else 1)
-        wanted_by_others = [one.wanted for one in self.leases.values() if one is not lease]
+                return remaining * wanted_share / (wanted_share + others_wanted)
+            # A rate that nobody wants is granted to holders that may need it next, which lend it until then.
+            return remaining / spare_takers if takes_spare and spare_takers <= MAX_SPARE_TAKERS else 0.0
+        remaining = self.target - wanted - others_wanted
+        if remaining >= 0.0:
+            return wanted + remaining / (spare_takers if takes_spare else 1)
+        wanted_by_others = [other.wanted for other in self.leases.values() if other is not lease]
         return fair_shares.max_min_share(self.target, wanted, wanted_by_others)
 
     def _others_deficit(self, request: LeaseRequest) -> float:
-        """What others have less than is due to them beside this holder, and what should be granted to
-        nobody and is."""
+        """How much the other holders are below their fair shares, plus the amount by which the slack is below
+        the rate that should be granted to nobody."""
         wanted_share = request.wanted_share
         others_wanted = max(self.sums.wanted_shares - wanted_share, 0.0)
         ungranted = fair_shares.ungranted_rate(
@@ -282,7 +284,7 @@
         return deficit
 
     def excess(self, holder: MemberId) -> float:
-        """By how much a holder is above its fair share; it should give that back."""
+        """By how much a holder is above its fair share; it should return that much."""
         lease = self.leases[holder]
         return max(lease.share - self.fair_share(holder, lease.wanted, lease.takes_spare), 0.0)
 
@@ -290,8 +292,8 @@
     # ------------------------------------------------------------------------------------
 
     def release(self, holder: MemberId, number: int) -> bool:
-        """End an expired lease: its share and its depth are free, and the units in its bucket are gone.
-        False where that lease is not in force."""
+        """Release an expired lease: its share and depth become free, and the units in its bucket are lost.
+        Returns False if that lease is not in force."""
         lease = self.leases.get(holder)
         if lease is None or lease.number != number:
             return False
@@ -299,8 +301,8 @@
         return True
 
     def expired(self, now: float, outlast_ms: float, since: float) -> list[tuple[MemberId, int]]:
-        """Holders and numbers of leases that have expired by this machine's clock (monotonic ms): seen for
-        `outlast_ms`, and for as long since it began to look."""
+        """Holders and numbers of leases that have expired by this machine's clock (monotonic ms): `outlast_ms`
+        have passed both since the grant was seen here and since the leader's term began (`since`)."""
         return [
             (holder, lease.number)
             for holder, lease in self.leases.items()
@@ -308,7 +310,7 @@
         ]
 
     def mark_seen(self, now: float) -> None:
-        """Note when leases that are new here were seen (monotonic ms)."""
+        """Record when leases were first seen here (monotonic ms)."""
         for lease in self.leases.values():
             if lease.seen_ms == math.inf:
                 lease.seen_ms = now
@@ -321,23 +323,23 @@
         if not self.leases:
             self.sums = LeaseSums()
 
-    def _sum_afresh(self, rules: Invariants) -> None:
-        """Now and then the sums are added up afresh, so that no error of rounding grows."""
-        if self.sums.changes < RESUM_CHANGES:
+    def _recompute_sums(self, rules: Invariants) -> None:
+        """Recompute the sums after `RECOMPUTE_AFTER_CHANGES` changes, so that rounding errors do not add up."""
+        if self.sums.changes < RECOMPUTE_AFTER_CHANGES:
             return
-        running, afresh = self.sums, LeaseSums.of(self.leases.values())
+        running_sums, recomputed_sums = self.sums, LeaseSums.of(self.leases.values())
         rules.check(
             Rule.PARTS_IN_WHOLE,
-            running.agrees_with(afresh, ROUNDING_TOLERANCE),
-            lambda: f"running sums {running.dump()}, afresh {afresh.dump()}",
+            running_sums.agrees_with(recomputed_sums, ROUNDING_TOLERANCE),
+            lambda: f"running sums {running_sums.dump()}, recomputed {recomputed_sums.dump()}",
         )
-        self.sums = afresh
+        self.sums = recomputed_sums
 
     # Snapshots
     # ------------------------------------------------------------------------------------
 
     def dump(self) -> list[Any]:
-        """Plain data, as it is stored in a snapshot."""
+        """The pool as plain data, for a snapshot."""
         return [
             self.target,
             self.depth,
@@ -363,7 +365,7 @@
 
     @classmethod
     def load(cls, record: list[Any]) -> LeasePool:
-        """The reverse of `dump`; leases count as seen when they are next looked at."""
+        """Load the result of `dump`; leases count as seen at the next `mark_seen`."""
         target, depth, step, last_number, free_units, even_split, accrued_until_ms, leases, sums = record
         pool = cls(
             target,
--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -155,7 +155,7 @@
         request = LeaseRequest(
             command.holder,
             command.lease_number,
-            kept=command.kept_rate,
+            kept_share=command.kept_rate,
             wanted=min(command.wanted_rate, pool.target) if within_window else 0.0,
             returned_units=command.returned_units,
             kept_depth=command.kept_depth,
--- a/tests/cluster/reservations/test_lease_pool.py
+++ b/tests/cluster/reservations/test_lease_pool.py
@@ -1,4 +1,4 @@
-"""The lease pool: shares within the capacity, units never from nothing, and fair shares."""
+"""The lease pool: shares stay within the capacity, units are never created, and shares are fair."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
         for holder, amount in wanted.items():
             pool.request(LeaseRequest(holder, 0, 0.0, amount, 0.0), Invariants())
     assert [connections.fair_share(holder, amount) for holder, amount in wanted.items()] == [5.0, 2.0, 5.0]
-    # Of rates 0.3 are in no share, for whoever has requests waiting; and all that those want who draw units
-    # for each request.
+    # 0.3 of the rate is in no share, for holders with waiting requests, and neither is the rate of holders that
+    # draw per request.
     assert [rates.fair_share("a", 20.0), rates.fair_share("b", 2.0)] == pytest.approx([5.25, 0.525])
     rates.request(LeaseRequest("c", 3, 0.0, 2.0, 0.0, draws_per_request=True), Invariants())
     in_shares = rates.fair_share("a", 20.0) + rates.fair_share("b", 2.0)
