--- a/badgeryoke/cluster/reservations/__init__.py
+++ b/badgeryoke/cluster/reservations/__init__.py
@@ -1,1 +1,1 @@
-"""Reserved capacity: contracts, their admission, and the leases under which gateways use them."""
+"""Reserved capacity: contracts (a tenant's guaranteed rate over a period), admission control, and leases."""
--- a/badgeryoke/cluster/reservations/admission.py
+++ b/badgeryoke/cluster/reservations/admission.py
@@ -1,18 +1,16 @@
-"""Admission control: the part of the cluster's own group that admits contracts and follows them to their end.
+"""Admission control: the part of the cluster's own group that admits contracts and tracks their states.
 
-All proposals go through one log, so two of them at two gateways never both take the last capacity.  What may
-be reserved is the stated capacity less a fraction for losses, less a rate for requests without a contract.  A
-contract takes capacity from its window's start until the last lease under it must have expired
-(`Timings.outlast` behind its end).
+All proposals go through one log, so two proposals at two gateways cannot both get the last capacity.  The
+available capacity is the stated capacity minus a fraction for the loss of capacity, minus a rate for requests
+without a contract.  A contract reserves capacity from the start of its window until its last lease must have
+expired (`Timings.outlast` after the end).
 
-A change, or a cancellation, is a version with a number and one moment from which it holds, at least two lease
+A change, or a cancellation, is a version with a number and the time at which it takes effect, at least two lease
 times ahead.  This group opens each version at the tenant's group
-(`badgeryoke.cluster.reservations.guaranteed_rates`), which applies it from its moment and answers
-`VersionDrained` once no lease of an earlier version is left.  Until then the dearer of the two versions takes
-capacity: close, return, grant, open.
+(`badgeryoke.cluster.reservations.guaranteed_rates`), which applies it at that time and answers `VersionDrained`
+once no lease of an earlier version remains.  Until then the higher rate of the two versions stays reserved.
 
-Source: the operators' wish "Reserved capacity contracts"; admission by rates over windows follows the
-reservations of `badgeryoke/decisions/plan_schedule`.
+Admission by rates over windows follows `badgeryoke/decisions/plan_schedule`.
 """
 
 from __future__ import annotations
@@ -71,14 +69,14 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 from badgeryoke.cluster.timings import Timings
 
-MAX_CONTRACTS = 1000  # in the cluster, not settled; more are rejected
+MAX_CONTRACTS = 1000  # contracts in the cluster that are not settled; more are rejected
 MAX_CONTRACTS_PER_TENANT = 16
-MAX_SETTLED_CONTRACTS = 200  # kept for reading; the oldest is forgotten first
+MAX_SETTLED_CONTRACTS = 200  # kept for operators to read; the oldest is dropped first
 MAX_INTERVALS = 20_000  # of all contracts together
-MAX_SHORTFALL_REPORTS = 1024  # of one contract, by gateway and cause
-CAPACITY_CHANGE_FRACTION = 0.02  # a measured capacity is stated anew when it differs by more
-DEFAULT_UNRESERVED_FRACTION = 0.1  # of the capacity, where no unreserved rate is stated
-MIN_ZONES = 2  # for the default reserve: one of that many zones may be lost
+MAX_SHORTFALL_REPORTS = 1024  # per contract: pairs of reporter and cause
+CAPACITY_CHANGE_FRACTION = 0.02  # smaller changes of the measured capacity are not proposed
+DEFAULT_UNRESERVED_FRACTION = 0.1  # of the capacity, if no unreserved rate is stated
+MIN_ZONES = 2  # for the default reserve, which covers the loss of one of that many zones
 
 
 class ContractRegistry:
@@ -87,13 +85,13 @@
     def __init__(self, timings: Timings, rules: Invariants) -> None:
         self.contracts: dict[str, Contract] = {}
         self.reserved_capacity = ReservedCapacity(timings, rules)
-        self.last_version = 0  # a version's number is given once, whatever contract has it
-        self.revision = 0  # changes of what gateways have to know
+        self.last_version = 0  # version numbers are unique over all contracts
+        self.revision = 0  # counts the changes that gateways have to receive
         self._open_retries = RetrySchedule()
 
     @property
     def lease_tail_ms(self) -> float:
-        """How long behind a window's end a lease may still be in use."""
+        """How long after the end of a window a lease may still be in use."""
         return self.reserved_capacity.lease_tail_ms
 
     # Commands
@@ -117,11 +115,11 @@
             case VersionDrained():
                 result = self._version_drained(at_ms, command)
             case ReportShortfall():
-                return self._record_shortfall(at_ms, command)  # takes no capacity: nothing to check
+                return self._record_shortfall(at_ms, command)  # reserves nothing: no invariant to check
             case SetCapacity():
                 result = self._set_capacity(at_ms, command)
             case AdvanceContracts():
-                self._forget_oldest_settled()
+                self._drop_oldest_settled()
                 return ApplyResult()
             case _:
                 return ApplyResult(
@@ -133,11 +131,11 @@
 
     def _propose(self, at_ms: float, command: ProposeContract) -> ApplyResult:
         name, terms = command.contract, command.terms
-        known = self.contracts.get(name)
-        if known is not None:
-            same = known.versions[0].terms == terms
+        existing = self.contracts.get(name)
+        if existing is not None:
+            same = existing.versions[0].terms == terms
             return ApplyResult(
-                contract_status(known), None if same else WrongState(name, "another has that name")
+                contract_status(existing), None if same else WrongState(name, "another has that name")
             )
         intervals = expand_windows(terms.windows)
         start_ms = intervals[0].start_ms
@@ -162,7 +160,7 @@
     def _change(
         self, at_ms: float, name: str, terms: ContractTerms | None, effective_from_ms: float
     ) -> ApplyResult:
-        """Add a version; `terms` None: a cancellation."""
+        """Add a version to a contract; without `terms` it is a cancellation."""
         contract = self.contracts.get(name)
         if contract is None:
             return ApplyResult(error=NotFound(name, "no such contract is known"))
@@ -222,18 +220,18 @@
         return ApplyResult()
 
     def _set_capacity(self, at_ms: float, command: SetCapacity) -> ApplyResult:
-        over = self.reserved_capacity.restate(self.contracts.values(), at_ms, command)
-        return ApplyResult({"available": self.reserved_capacity.available(), "over": over})
+        excess = self.reserved_capacity.set_capacity(self.contracts.values(), at_ms, command)
+        return ApplyResult({"available": self.reserved_capacity.available(), "over": excess})
 
     # Capacity
     # ------------------------------------------------------------------------------------
 
     def available(self) -> float:
-        """What may be reserved, units a second."""
+        """The rate that may be reserved, units a second."""
         return self.reserved_capacity.available()
 
     def peak_reserved_rate(self, start_ms: float, end_ms: float) -> float:
-        """The most that contracts take at any moment of a time (Unix ms), units a second."""
+        """The highest rate that contracts reserve at any moment of an interval (Unix ms), units a second."""
         return self.reserved_capacity.profile(self.contracts.values()).peak(start_ms, end_ms)
 
     def _check_fit(
@@ -241,23 +239,27 @@
     ) -> InsufficientCapacity | None:
         return self.reserved_capacity.check_fit(self.contracts.values(), at_ms, name, reserved, terms)
 
-    def _check_bounds(self, terms: ContractTerms, intervals: int) -> AnyError | None:
-        """Why one contract more is too many."""
-        self._forget_oldest_settled()
-        live = [one for one in self.contracts.values() if one.state is not ContractState.SETTLED]
-        of_tenant = sum(contract.newest.terms.tenant == terms.tenant for contract in live)
-        if len(live) >= MAX_CONTRACTS or of_tenant >= MAX_CONTRACTS_PER_TENANT:
+    def _check_bounds(self, terms: ContractTerms, new_intervals: int) -> AnyError | None:
+        """Why another contract would exceed the bounds, or None."""
+        self._drop_oldest_settled()
+        live = [
+            candidate for candidate in self.contracts.values() if candidate.state is not ContractState.SETTLED
+        ]
+        tenant_contracts = sum(contract.newest.terms.tenant == terms.tenant for contract in live)
+        if len(live) >= MAX_CONTRACTS or tenant_contracts >= MAX_CONTRACTS_PER_TENANT:
             return Overloaded(
                 terms.tenant,
                 f"{MAX_CONTRACTS} in all, or {MAX_CONTRACTS_PER_TENANT} of a tenant, are held already",
             )
-        known = sum(len(version.intervals) for contract in live for version in contract.versions)
-        if known + intervals > MAX_INTERVALS:
+        known_intervals = sum(len(version.intervals) for contract in live for version in contract.versions)
+        if known_intervals + new_intervals > MAX_INTERVALS:
             return Overloaded(terms.tenant, f"windows: all contracts' come to more than {MAX_INTERVALS}")
         return None
 
-    def _forget_oldest_settled(self) -> None:
-        settled = [name for name, one in self.contracts.items() if one.state is ContractState.SETTLED]
+    def _drop_oldest_settled(self) -> None:
+        settled = [
+            name for name, contract in self.contracts.items() if contract.state is ContractState.SETTLED
+        ]
         for name in settled[: max(len(settled) - MAX_SETTLED_CONTRACTS, 0)]:
             del self.contracts[name]
 
@@ -265,15 +267,15 @@
     # ------------------------------------------------------------------------------------
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
-        """See badgeryoke.cluster.state_machine_part.  States the measured capacity, moves contracts on with
-        time, and opens versions at the tenants' groups."""
-        tasks: list[Command] = [*self._restate_capacity(view)]
+        """See badgeryoke.cluster.state_machine_part.  Proposes the measured capacity and time-based state
+        changes, and opens versions at the tenants' groups."""
+        tasks: list[Command] = [*self._update_capacity(view)]
         tail_ms = self.lease_tail_ms
-        if any(one.due_event(view.wall, tail_ms) is not None for one in self.contracts.values()):
+        if any(contract.due_event(view.wall, tail_ms) is not None for contract in self.contracts.values()):
             tasks.append(AdvanceContracts(id="pass"))
         return tasks + self._open_versions(view.now)
 
-    def _restate_capacity(self, view: LeaderView) -> list[Command]:
+    def _update_capacity(self, view: LeaderView) -> list[Command]:
         capacity, stated = view.load.get("capacity", 0.0), self.reserved_capacity.capacity
         if capacity <= 0.0 or abs(capacity - stated) <= CAPACITY_CHANGE_FRACTION * stated:
             return []
@@ -287,7 +289,7 @@
         ]
 
     def _open_versions(self, now: float) -> list[Command]:
-        """Versions that the tenants' groups have not confirmed yet."""
+        """Opens the versions that the tenants' groups have not confirmed yet."""
         unconfirmed = {
             f"open/{contract.name}/{version.number}": (contract.name, version)
             for contract in self.contracts.values()
@@ -313,7 +315,7 @@
         return tasks
 
     def seen(self, now: float) -> None:
-        """See badgeryoke.cluster.state_machine_part.  Nothing here expires by this machine's clock."""
+        """See badgeryoke.cluster.state_machine_part.  Nothing here depends on this machine's clock."""
 
     # Answers and snapshots
     # ------------------------------------------------------------------------------------
@@ -329,12 +331,14 @@
                         "capacity": self.reserved_capacity.capacity,
                         "reserve": self.reserved_capacity.reserve_fraction,
                         "floor": self.reserved_capacity.unreserved_rate,
-                        "contracts": {one.name: contract_status(one) for one in self.contracts.values()},
+                        "contracts": {
+                            contract.name: contract_status(contract) for contract in self.contracts.values()
+                        },
                     }
                 )
 
     def _contracts_answer(self, known_revision: int) -> dict[str, Any]:
-        """A `ContractsAnswer` as plain data, as answers are sent."""
+        """A `ContractsAnswer` as plain data."""
         if known_revision == self.revision:
             return {"known": self.revision}
         live = tuple(contract_facts(contract) for contract in self.contracts.values() if contract.is_live)
--- a/badgeryoke/cluster/reservations/answers.py
+++ b/badgeryoke/cluster/reservations/answers.py
@@ -1,7 +1,7 @@
-"""Answers to commands on contracts, as types.
+"""Types of the answers to commands on contracts.
 
-They are sent as plain data by the names that `name=` states, which are interfaces, and are converted where
-they arrive.
+Answers are sent as plain data and converted to these types on receipt.  The field names that `name=` states are
+part of the wire format.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 
 class LeaseAnswer(msgspec.Struct, frozen=True):
-    """The answer to a `RequestLease`: the lease that the holder has from here on, and what it needs to know
-    of the other holders (see `badgeryoke.cluster.leases.lease_pool.LeaseGrant`)."""
+    """The answer to a `RequestLease`: the holder's new lease, and figures about the other holders (see
+    `badgeryoke.cluster.leases.lease.LeaseGrant`)."""
 
-    lease_number: int = msgspec.field(name="number")  # 0: it holds none
+    lease_number: int = msgspec.field(name="number")  # 0: no lease
     share: float = msgspec.field(name="part")  # units a second
-    units: float = msgspec.field(name="room")  # for its bucket, beside those it has
+    units: float = msgspec.field(name="room")  # to add to its bucket
     depth: float = msgspec.field(name="cap")  # of its bucket, units
     fair_share: float = msgspec.field(name="fair")
     max_share: float = msgspec.field(name="most")
@@ -26,15 +26,17 @@
     slack: float = msgspec.field(name="spare")
     holders: int
     version: int
-    from_ms: float  # Unix ms: the window that it is for; 0: none
-    until_ms: float  # Unix ms: when the share changes by itself
-    later_fraction: float = msgspec.field(name="then")  # of the share that is left from `until_ms` on
+    from_ms: float  # Unix ms: start of the window that the lease is for; 0: none
+    until_ms: float  # Unix ms: when the share changes without another request
+    later_fraction: float = msgspec.field(
+        name="then"
+    )  # fraction of the share that remains from `until_ms` on
     at_ms: float  # the group's time
     free_units: float = msgspec.field(name="free")  # units in no holder's bucket
 
 
 class VersionFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """One version of a contract, as a gateway needs to know it."""
+    """One version of a contract, as sent to gateways."""
 
     version: int = 0
     customers: tuple[int, ...]
@@ -57,7 +59,7 @@
 
 
 class ContractsAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """The answer to a `PollContracts`.  `contracts`: absent where the gateway has that revision."""
+    """The answer to a `PollContracts`.  `contracts`: absent if the gateway already has that revision."""
 
     revision: int = msgspec.field(name="known")
     contracts: tuple[ContractFacts, ...] | None = None
--- a/badgeryoke/cluster/reservations/capacity_profile.py
+++ b/badgeryoke/cluster/reservations/capacity_profile.py
@@ -1,7 +1,7 @@
-"""Rates that are reserved over time: their sum, its peak, and when a set of them would fit.
+"""Reserved rates over time: their sum, its peak, and the earliest time at which a set of intervals fits.
 
-Admission is by rates over intervals, so that a rejection can say what would fit and from when on.  Times are
-Unix milliseconds, rates units a second.
+Admission compares rates over intervals, so that a rejection can state which rate would fit, and from when on.
+Times are Unix milliseconds, rates units a second.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 from badgeryoke.cluster.leases.lease import EPSILON
 
-MAX_START_TIMES_TRIED = 200  # in the search for the earliest moment at which a proposal would fit
+MAX_START_TIMES_TRIED = 200  # in the search for the earliest time at which a proposal fits
 
 
 class ReservedInterval(NamedTuple):
-    """A rate that is taken over [start_ms, end_ms)."""
+    """A rate that is reserved over [start_ms, end_ms)."""
 
     start_ms: float
     end_ms: float
     rate: float
 
 
-def higher_of(one: list[ReservedInterval], two: list[ReservedInterval]) -> list[ReservedInterval]:
-    """The higher of two at every moment, so that an interval in both counts once."""
-    times_ms = sorted({time_ms for start_ms, end_ms, _ in one + two for time_ms in (start_ms, end_ms)})
-    rates = [max(rate_at(one, time_ms), rate_at(two, time_ms)) for time_ms in times_ms]
+def higher_of(first: list[ReservedInterval], second: list[ReservedInterval]) -> list[ReservedInterval]:
+    """The maximum of two sets of intervals at every moment; an interval in both counts once."""
+    times_ms = sorted({time_ms for start_ms, end_ms, _ in first + second for time_ms in (start_ms, end_ms)})
+    rates = [max(rate_at(first, time_ms), rate_at(second, time_ms)) for time_ms in times_ms]
     return [
         ReservedInterval(start_ms, end_ms, rate)
         for (start_ms, end_ms), rate in zip(pairwise(times_ms), rates, strict=False)
@@ -37,9 +37,9 @@
 
 
 def rate_at(intervals: list[ReservedInterval], at_ms: float) -> float:
-    """The rate at a moment, of intervals in order of their start of which only neighbours overlap."""
-    begun = bisect_right(intervals, at_ms, key=lambda interval: interval.start_ms)
-    neighbours = intervals[max(begun - 2, 0) : begun]
+    """The rate at a moment.  The intervals are in order of their start, and only neighbours overlap."""
+    started_count = bisect_right(intervals, at_ms, key=lambda interval: interval.start_ms)
+    neighbours = intervals[max(started_count - 2, 0) : started_count]
     return max((interval.rate for interval in neighbours if interval.end_ms > at_ms), default=0.0)
 
 
@@ -51,7 +51,7 @@
             step for start_ms, end_ms, rate in intervals for step in ((start_ms, rate), (end_ms, -rate))
         )
         self.times_ms: list[float] = []
-        self.rates: list[float] = []  # from the same-numbered time on
+        self.rates: list[float] = []  # the rate from the time with the same index on
         total = 0.0
         for time_ms, change in steps:
             total += change
@@ -68,7 +68,7 @@
         return max([self.rates[first - 1] if first else 0.0, *self.rates[first:last]], default=0.0)
 
     def drops_after(self, after_ms: float) -> list[float]:
-        """The times behind a moment at which the sum falls."""
+        """The times after `after_ms` at which the sum decreases."""
         return [
             time_ms
             for time_ms, before, after in zip(self.times_ms, [0.0, *self.rates], self.rates, strict=False)
@@ -77,7 +77,7 @@
 
 
 class CapacityLimit(NamedTuple):
-    """What others have reserved, and the rate that may be reserved in all (of the cluster or one zone)."""
+    """The rates that others have reserved, and the total that may be reserved, in the cluster or one zone."""
 
     others: CapacityProfile
     available: float
@@ -88,7 +88,7 @@
         return max(self.available - peak, 0.0)
 
     def fits(self, intervals: list[ReservedInterval], shift_ms: float = 0.0) -> bool:
-        """Whether all intervals fit beside the others, moved by a time."""
+        """Whether all intervals, moved by `shift_ms`, fit with the reserved rates of others."""
         return all(
             self.others.peak(start_ms + shift_ms, end_ms + shift_ms) + rate <= self.available + EPSILON
             for start_ms, end_ms, rate in intervals
@@ -96,8 +96,8 @@
 
 
 def earliest_fit_ms(limits: list[CapacityLimit], intervals: list[ReservedInterval]) -> float:
-    """The first moment from which all intervals would fit, moved there together; 0 where none was found.
-    Intervals can only begin to fit where something else ends."""
+    """The earliest start at which all intervals, moved together, fit; 0 if none was found.  Only times at which
+    the rate of others decreases are tried, because nothing else can make intervals fit."""
     start_ms = intervals[0].start_ms
     ends_ms = sorted({time_ms for limit in limits for time_ms in limit.others.drops_after(start_ms)})
     for end_ms in ends_ms[:MAX_START_TIMES_TRIED]:
--- a/badgeryoke/cluster/reservations/commands.py
+++ b/badgeryoke/cluster/reservations/commands.py
@@ -1,8 +1,8 @@
 """Commands on contracts.
 
-The first half goes to the cluster's own group, which admits contracts; the second half goes to the group of
-a tenant, which divides each contract into leases.  A command is stored and called by its `tag` and by the
-field names that `name=` states: those are interfaces and keep their old form.
+The first half is for the cluster's own group, which admits contracts; the second half is for a tenant's group,
+which divides each contract into leases.  Commands are stored and sent with their `tag` and the field names that
+`name=` states; these names are a stable format.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 MAX_SLICES_PER_REPORT = 256
 MAX_ZONES = 64
-MAX_NAME_LENGTH = 200  # of a member, with its process where it reports
+MAX_NAME_LENGTH = 200  # of a member; of a reporter, which is a member with its process
 MAX_CAUSE_LENGTH = 40
 MAX_PROCESS_LENGTH = 64
 MAX_SLICE_NUMBER = 1e12
@@ -37,8 +37,8 @@
 
 
 class SetCapacity(Command, frozen=True, kw_only=True, tag="Capacity"):
-    """State what the cluster can carry, units a second.  `reserve_fraction`: kept for losses;
-    `unreserved_rate`: kept for requests without a contract; `zones`: the capacity of each zone, where known."""
+    """Set the cluster's capacity, units a second.  `reserve_fraction`: kept free for the loss of capacity;
+    `unreserved_rate`: kept for requests without a contract; `zones`: the capacity of each zone, if known."""
 
     capacity: float = msgspec.field(name="units")
     reserve_fraction: float = msgspec.field(name="reserve")
@@ -63,8 +63,8 @@
 
 
 class ProposeContract(ContractCommand, frozen=True, kw_only=True, tag="Propose"):
-    """Propose a contract under a name of its own.  Answers with its status, or with InsufficientCapacity,
-    which states what would fit and when."""
+    """Propose a contract under a new name.  Answered by its status, or by InsufficientCapacity, which states
+    the rate and the time that would fit."""
 
     terms: ContractTerms
 
@@ -74,7 +74,7 @@
 
 
 class ChangeContract(ContractCommand, frozen=True, kw_only=True, tag="Change"):
-    """Replace a contract's terms from one moment on, at all gateways.  Tenant and zone stay."""
+    """Replace a contract's terms at one moment, at all gateways.  Tenant and zone cannot be changed."""
 
     terms: ContractTerms
     effective_from_ms: float = msgspec.field(name="holds_from_ms")  # Unix ms
@@ -87,11 +87,11 @@
 
 
 class CancelContract(ContractCommand, frozen=True, kw_only=True, tag="CancelContract"):
-    """End a contract early.  It holds for two lease times yet, then its capacity is free."""
+    """End a contract early.  It stays in force for two more lease times, then its capacity is freed."""
 
 
 class VersionDrained(ContractCommand, frozen=True, kw_only=True, tag="Told"):
-    """The tenant's group applies that version, and no lease of an earlier one is left."""
+    """Report that the tenant's group has applied a version and no lease of an earlier version remains."""
 
     version: int
 
@@ -101,8 +101,8 @@
 
 
 class ReportShortfall(ContractCommand, frozen=True, kw_only=True, tag="Short"):
-    """Units within the contract that were not served at one gateway, by cause.  A running total since
-    `since_ms` (Unix ms), so that a repeat adds nothing."""
+    """Report reserved units that were not served at one gateway, by cause.  `units` is a running total since
+    `since_ms` (Unix ms), so that a repeated report adds nothing."""
 
     once: ClassVar[bool] = False
 
@@ -121,7 +121,7 @@
 
 
 class AdvanceContracts(Command, frozen=True, kw_only=True, tag="Pass"):
-    """Time has passed: contracts change their states."""
+    """Apply time-based state changes of contracts."""
 
     once: ClassVar[bool] = False
 
@@ -133,8 +133,7 @@
 
 
 class PollContracts(Command, frozen=True, kw_only=True, tag="ContractsKnown"):
-    """Read what a gateway needs to know of contracts; the answer is the revision alone where the gateway
-    has that already."""
+    """Read the contracts for a gateway; the answer has only the revision if the gateway already knows it."""
 
     reads: ClassVar[bool] = True
 
@@ -161,7 +160,7 @@
 
 
 class OpenContract(TenantCommand, frozen=True, kw_only=True, tag="Open"):
-    """Apply a version from its moment on (a first one: at once)."""
+    """Apply a version of a contract at `effective_from_ms`; the first version immediately."""
 
     version: int
     rate: float
@@ -178,13 +177,14 @@
 
 
 class RequestLease(TenantCommand, frozen=True, kw_only=True, tag="Lease"):
-    """Renew, shrink, grow or give back a share of a contract's rate and burst; answered by a `LeaseAnswer`.
-    For the figures see `badgeryoke.cluster.leases.lease_pool.LeasePool.request`."""
+    """Renew, shrink, grow or return a lease on a contract's rate and burst; answered by a `LeaseAnswer`.
+    See `badgeryoke.cluster.leases.lease.LeaseRequest` for the amounts."""
 
-    once: ClassVar[bool] = False  # the lease number states the order; the last answer is kept for a repeat
+    # Ordered by the lease number; the last answer is kept for a repeated request.
+    once: ClassVar[bool] = False
 
     holder: MemberId
-    lease_number: int = msgspec.field(name="number")  # 0: it holds no lease
+    lease_number: int = msgspec.field(name="number")  # 0: no lease
     kept_rate: float = msgspec.field(name="keep")
     wanted_rate: float = msgspec.field(name="wish")
     returned_units: float = msgspec.field(name="room")
@@ -193,8 +193,9 @@
     takes_spare: bool = msgspec.field(default=False, name="soft")
     min_depth: float = msgspec.field(default=0.0, name="least")
     draws_per_request: bool = msgspec.field(default=False, name="pulls")
-    process: str = ""  # of the holder
-    # Of the calls of that process, from 1: a call that arrives after a later one is stale; 0: not ordered.
+    process: str = ""  # the holder's process
+    # Sequence number of the call within that process, from 1: a call that arrives after a later one is stale.
+    # 0: not ordered.
     sequence: int = msgspec.field(default=0, name="order")
 
     def validate(self) -> str:
@@ -219,22 +220,22 @@
 
 
 class SwitchVersion(TenantCommand, frozen=True, kw_only=True, tag="TurnFloor"):
-    """The moment of a pending version has come, or usage is due to be settled, though no gateway calls."""
+    """Apply a pending version that is due, and settle usage that is due, without a call from a gateway."""
 
     once: ClassVar[bool] = False
 
 
 class UsageSlice(NamedTuple):
-    """What was requested and drawn at one gateway in one slice of the group's time.  Sent as an array."""
+    """Units requested and drawn at one gateway in one slice of the group's time.  Sent as an array."""
 
     number: int  # the group's time divided by SLICE_MS
-    requested: float  # units
-    drawn: float  # units
+    requested_units: float  # units
+    drawn_units: float  # units
 
 
 class ReportUsage(TenantCommand, frozen=True, kw_only=True, tag="Used"):
-    """What was requested within a contract at one gateway, and what of that was drawn.  A slice that is
-    reported again replaces the earlier report."""
+    """Report the units that were requested and drawn under a contract at one gateway.  Reporting a slice again
+    replaces the earlier report."""
 
     once: ClassVar[bool] = False
 
@@ -244,8 +245,10 @@
     def validate(self) -> str:
         """See badgeryoke.cluster.state_machine_part."""
         valid = all(
-            0 <= number <= MAX_SLICE_NUMBER and 0.0 <= requested <= MAX_RATE and 0.0 <= drawn <= MAX_RATE
-            for number, requested, drawn in self.slices
+            0 <= number <= MAX_SLICE_NUMBER
+            and 0.0 <= requested_units <= MAX_RATE
+            and 0.0 <= drawn_units <= MAX_RATE
+            for number, requested_units, drawn_units in self.slices
         )
         if not valid or len(self.slices) > MAX_SLICES_PER_REPORT:
             return "slices: out of bounds"
@@ -253,9 +256,9 @@
 
 
 class ReleaseLease(TenantCommand, frozen=True, kw_only=True, tag="EndLease"):
-    """A lease has expired by the leader's clock, and so by its holder's."""
+    """Release a lease that has expired by the leader's clock, and therefore by its holder's."""
 
-    once: ClassVar[bool] = False  # a lease number is given once
+    once: ClassVar[bool] = False  # lease numbers are unique
 
     holder: MemberId
     lease_number: int = msgspec.field(name="number")
@@ -286,7 +289,7 @@
 
 
 def contract_of(command: Command) -> str:
-    """The contract that a command names; empty where it is about none."""
+    """The contract that a command names; empty if it names none."""
     match command:
         case ContractCommand() | TenantCommand():
             return command.contract
--- a/badgeryoke/cluster/reservations/contract.py
+++ b/badgeryoke/cluster/reservations/contract.py
@@ -1,9 +1,9 @@
-"""A contract's life: its versions, its states, and the capacity that it takes at each moment.
+"""The life cycle of a contract: its versions, its states, and the capacity that it reserves over time.
 
-A contract has the version in force and at most one that is pending (a cancellation is a version without any
-interval).  While both are known the dearer of the two takes capacity at every moment, since gateways may
-still hold leases under either.  The states and what moves a contract between them are data, in
-`TRANSITIONS`; states are stored by their values.
+A contract has the version in force and at most one pending version (a cancellation is a version without
+intervals).  While there are two, the contract reserves the higher of their rates at every moment, because
+gateways may still hold leases under either.  `TRANSITIONS` is the table of states and events; states are stored
+by their values.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from badgeryoke.cluster.reservations.capacity_profile import ReservedInterval, higher_of
 from badgeryoke.cluster.reservations.terms import ContractTerms, Interval
 
-ARM_AHEAD_MS = 10_000.0  # before its window a contract is armed, and gateways begin to request leases
-GRANT_AHEAD_MS = 1000.0  # before its window lease shares are granted, for use from its start
-BREACH_RECOVERY_MS = 5000.0  # without any shortfall a breach is over
+ARM_AHEAD_MS = 10_000.0  # how long before its window a contract is armed
+GRANT_AHEAD_MS = 1000.0  # how long before its window leases are granted, for use from its start
+BREACH_RECOVERY_MS = 5000.0  # time without a shortfall after which a breach ends
 
 
 class ContractState(Enum):
-    """Where a contract stands.  The values are stored."""
+    """The state of a contract.  The values are stored."""
 
     PROPOSED = "proposed"
     REFUSED = "refused"
     ADMITTED = "admitted"
-    ARMED = "armed"  # its window is near, and the tenant's group has opened it
+    ARMED = "armed"  # its window starts soon, and the tenant's group has opened it
     ACTIVE = "active"
     BREACHED = "breached"  # active, with a recent shortfall
-    CLOSING = "closing"  # its window is over or it is cancelled: leases expire
+    CLOSING = "closing"  # its window has ended or it is cancelled; its leases are expiring
     SETTLED = "settled"
 
 
 class ContractEvent(Enum):
-    """What moves a contract from one state to another."""
+    """An event that changes a contract's state."""
 
     ADMIT = "it fits"
     REFUSE = "it does not fit"
@@ -52,7 +52,7 @@
     (ContractState.PROPOSED, ContractEvent.ADMIT): ContractState.ADMITTED,
     (ContractState.PROPOSED, ContractEvent.REFUSE): ContractState.REFUSED,
     (ContractState.ADMITTED, ContractEvent.ARM): ContractState.ARMED,
-    # The tenant's group never opened it.
+    # The tenant's group did not open the contract before its window ended.
     (ContractState.ADMITTED, ContractEvent.END): ContractState.CLOSING,
     (ContractState.ADMITTED, ContractEvent.CANCEL): ContractState.CLOSING,
     (ContractState.ADMITTED, ContractEvent.SHORTFALL): ContractState.ADMITTED,
@@ -67,7 +67,7 @@
     (ContractState.BREACHED, ContractEvent.RECOVER): ContractState.ACTIVE,
     (ContractState.BREACHED, ContractEvent.END): ContractState.CLOSING,
     (ContractState.BREACHED, ContractEvent.CANCEL): ContractState.CLOSING,
-    # Reported late.
+    # Late reports.
     (ContractState.CLOSING, ContractEvent.SHORTFALL): ContractState.CLOSING,
     (ContractState.CLOSING, ContractEvent.NEXT_WINDOW): ContractState.ADMITTED,
     (ContractState.CLOSING, ContractEvent.SETTLE): ContractState.SETTLED,
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class ContractVersion:
-    """Terms from a moment on.  `intervals`: when its windows hold; none for a cancellation."""
+    """Terms in force from `effective_from_ms` on.  `intervals`: the expanded windows; empty for a cancellation."""
 
     number: int
     terms: ContractTerms
@@ -87,45 +87,46 @@
 
 @dataclass(slots=True)
 class Contract:
-    """One contract.  `versions`: the one in force, then one that is pending or not drained yet."""
+    """One contract.  `versions`: the version in force, then possibly one that is pending, or in force while
+    leases of the previous one remain."""
 
     name: str
     versions: list[ContractVersion]
     state: ContractState = ContractState.PROPOSED
-    confirmed_version: int = 0  # the newest version that the tenant's group applies with no older lease left
+    confirmed_version: int = 0  # the newest version for which the tenant's group reported `VersionDrained`
     cancelled: bool = False
     shortfalls: dict[str, dict[str, float]] = field(default_factory=dict)  # cause -> reporter -> units
-    shortfall_since_ms: float = 0.0  # of the first unit; 0: none
+    shortfall_since_ms: float = 0.0  # when the first shortfall began; 0: none
     last_shortfall_ms: float = 0.0
 
     def advance(self, event: ContractEvent) -> bool:
-        """Move by the table; False, and nothing changes, where the table has no such transition."""
+        """Apply an event; returns False and changes nothing if `TRANSITIONS` has no entry for it."""
         new = TRANSITIONS.get((self.state, event))
         self.state = new or self.state
         return new is not None
 
     def advance_to(self, at_ms: float, lease_tail_ms: float) -> None:
-        """Apply all events that are due at a moment."""
+        """Apply all time-based events that are due at `at_ms`."""
         while (event := self.due_event(at_ms, lease_tail_ms)) is not None and self.advance(event):
             pass
 
     @property
     def is_live(self) -> bool:
-        """Whether it takes capacity: neither settled nor refused."""
+        """Whether it reserves capacity: it is neither settled nor refused."""
         return self.state not in (ContractState.SETTLED, ContractState.REFUSED)
 
     @property
     def newest(self) -> ContractVersion:
-        """The version that is in force, or will be."""
+        """The pending version, or else the one in force."""
         return self.versions[-1]
 
     def version_at(self, at_ms: float) -> ContractVersion:
-        """The version whose windows hold at a moment."""
+        """The version in force at a moment."""
         return self.newest if at_ms >= self.newest.effective_from_ms else self.versions[0]
 
     def reserved_intervals(self, lease_tail_ms: float) -> list[ReservedInterval]:
-        """The capacity that it takes over time: of two versions the dearer at every moment.  A lease may be
-        in use for `lease_tail_ms` behind a window's end."""
+        """The rate that the contract reserves over time: the higher rate of its versions at every moment.
+        Leases may be in use until `lease_tail_ms` after the end of a window."""
         by_version = [
             [
                 ReservedInterval(start_ms, end_ms + lease_tail_ms, version.terms.rate)
@@ -144,25 +145,26 @@
         return higher_of(by_version[0], pending)
 
     def due_event(self, at_ms: float, lease_tail_ms: float) -> ContractEvent | None:
-        """The event that time alone brings about, if there is one."""
+        """The time-based event that is due at a moment, if any."""
         intervals = self.version_at(at_ms).intervals
-        ended = bisect_right(intervals, at_ms, key=lambda interval: interval.end_ms)
-        current = intervals[ended] if ended < len(intervals) else None  # the one in force, or the next
+        ended_count = bisect_right(intervals, at_ms, key=lambda interval: interval.end_ms)
+        # The interval in force, or the next one.
+        current = intervals[ended_count] if ended_count < len(intervals) else None
         match self.state:
             case ContractState.ADMITTED:
                 return self._due_while_admitted(at_ms, current)
             case ContractState.ARMED | ContractState.ACTIVE | ContractState.BREACHED:
                 return self._due_while_open(at_ms, current)
             case ContractState.CLOSING:
-                last_end_ms = intervals[ended - 1].end_ms if ended else None
+                last_end_ms = intervals[ended_count - 1].end_ms if ended_count else None
                 return self._due_while_closing(at_ms, lease_tail_ms, current, last_end_ms)
         return None
 
     def _due_while_admitted(self, at_ms: float, current: Interval | None) -> ContractEvent | None:
         if current is None:
             return ContractEvent.END
-        near = at_ms >= current.start_ms - ARM_AHEAD_MS
-        return ContractEvent.ARM if self.confirmed_version and near else None
+        is_near = at_ms >= current.start_ms - ARM_AHEAD_MS
+        return ContractEvent.ARM if self.confirmed_version and is_near else None
 
     def _due_while_open(self, at_ms: float, current: Interval | None) -> ContractEvent | None:
         if current is None or at_ms < current.start_ms - ARM_AHEAD_MS:
@@ -177,11 +179,11 @@
     def _due_while_closing(
         self, at_ms: float, lease_tail_ms: float, current: Interval | None, last_end_ms: float | None
     ) -> ContractEvent | None:
-        """`last_end_ms`: the end of the last interval that is over."""
+        """`last_end_ms`: when the latest past interval ended."""
         if self.cancelled:
             return ContractEvent.SETTLE if self.confirmed_version == self.newest.number else None
         if current is not None:
-            # The next window waits until the last lease of the one before has expired.
+            # The next window opens only after the last lease of the previous one has expired.
             expired_ms = last_end_ms + lease_tail_ms if last_end_ms is not None else at_ms
             reopens = at_ms >= min(expired_ms, current.start_ms - GRANT_AHEAD_MS)
             return ContractEvent.NEXT_WINDOW if reopens else None
--- a/badgeryoke/cluster/reservations/contract_changes.py
+++ b/badgeryoke/cluster/reservations/contract_changes.py
@@ -1,7 +1,7 @@
-"""Whether a contract may change, and what capacity a change adds.
+"""Validation of contract changes, and the capacity that a change adds.
 
-A change has one moment from which it holds, at least two lease times ahead: by then every gateway has polled
-for it, and every lease under the version before has been renewed or has expired.
+A change takes effect at one moment, at least two lease times ahead: by then every gateway has received it in
+a poll, and every lease under the previous version has been renewed or has expired.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from badgeryoke.cluster.reservations.contract import Contract, ContractVersion
 from badgeryoke.cluster.reservations.terms import ContractTerms, expand_windows
 
-NOTICE_LEASE_TIMES = 2  # a change holds from so many lease times ahead, at the least
+NOTICE_LEASE_TIMES = 2  # minimum lead time of a change, in lease times
 
 
 def check_changeable(
     contract: Contract, at_ms: float, effective_from_ms: float, lease_tail_ms: float
 ) -> WrongState | InvalidCall | None:
-    """Why a contract takes no other version at a moment (Unix ms), or None."""
+    """Why a contract cannot get another version at `at_ms` (Unix ms), or None."""
     name, newest = contract.name, contract.newest
     if contract.cancelled or not contract.is_live or newest.intervals[-1].end_ms <= at_ms:
         state = "cancelled" if contract.cancelled else contract.state.value
@@ -44,7 +44,7 @@
 def added_intervals(
     contract: Contract, pending: ContractVersion, lease_tail_ms: float
 ) -> list[ReservedInterval]:
-    """What a contract would take with a pending version where that is more than it takes already."""
+    """The intervals in which a pending version would raise the rate that a contract reserves."""
     before = contract.reserved_intervals(lease_tail_ms)
     changed = Contract(contract.name, [contract.newest, pending])
     return [
--- a/badgeryoke/cluster/reservations/contract_records.py
+++ b/badgeryoke/cluster/reservations/contract_records.py
@@ -1,6 +1,6 @@
-"""Plain-data forms of a contract: for snapshots, for gateways and for operators.
+"""Serialized forms of a contract: for snapshots, gateways and operators.
 
-Snapshots are stored and answers are sent, so the order of fields and the keys here are interfaces.
+Snapshots are stored and answers are sent, so the order of fields and the keys are a stable format.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from badgeryoke.cluster.reservations.contract import Contract, ContractState, ContractVersion
 from badgeryoke.cluster.reservations.terms import ContractTerms, Interval
 
-# What is stored: lists of plain values, untyped up to `load_contract`.
+# The stored form: nested lists of plain values, without types until `load_contract`.
 ContractRecord = list[Any]
 
 
 def dump_contract(contract: Contract) -> ContractRecord:
-    """A contract as it is stored in a snapshot."""
+    """A contract's form in snapshots."""
     return [
         contract.name,
         contract.state.value,
@@ -40,7 +40,7 @@
 
 
 def load_contract(record: ContractRecord) -> Contract:
-    """The reverse of `dump_contract`."""
+    """Load the result of `dump_contract`."""
     name, state, confirmed_version, cancelled, shortfalls, since_ms, last_shortfall_ms, versions = record
     return Contract(
         name,
@@ -63,7 +63,7 @@
 
 
 def contract_facts(contract: Contract) -> ContractFacts:
-    """What a gateway needs to know of a contract."""
+    """A contract's form in the answer to a gateway's poll."""
     terms = contract.newest.terms
     return ContractFacts(
         contract=contract.name,
@@ -87,7 +87,7 @@
 
 
 def contract_status(contract: Contract) -> dict[str, Any]:
-    """What operators are shown of a contract: plain data, by the keys of the management interface."""
+    """A contract's status for operators, with the keys of the management interface."""
     return {
         "contract": contract.name,
         "state": contract.state.value,
--- a/badgeryoke/cluster/reservations/guaranteed_rate.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rate.py
@@ -1,4 +1,4 @@
-"""One contract as the group of its tenant applies it: its versions, its leases and its usage."""
+"""One contract in the state of its tenant's group: its versions, its leases and its usage."""
 
 from __future__ import annotations
 
@@ -16,19 +16,20 @@
 from badgeryoke.cluster.reservations.settlement import UsageTally
 from badgeryoke.cluster.reservations.terms import Interval
 
-MAX_PROCESSES_PER_HOLDER = 4  # whose calls are told apart; no call outlives that many restarts
-ROUNDING_TOLERANCE = 1e-6  # units a second, of sums over leases
+# Processes whose sequence numbers are kept; no call stays in flight over that many restarts.
+MAX_PROCESSES_PER_HOLDER = 4
+ROUNDING_TOLERANCE = 1e-6  # units a second, in comparisons of sums over leases
 
 
 class AnsweredRequest(NamedTuple):
-    """The last answered lease request of a holder, to answer a repeat alike.  Stored as an array."""
+    """A holder's last answered lease request, so that a repeat gets the same answer.  Stored as an array."""
 
     command_id: str
     answer: dict[str, Any]  # a LeaseAnswer as plain data, as it is sent and stored
 
 
 class ShareChange(NamedTuple):
-    """When a lease's share changes by itself (Unix ms), and the fraction of it that is left then."""
+    """When a lease's share changes without another request (Unix ms), and the fraction that remains then."""
 
     at_ms: float
     later_fraction: float
@@ -36,7 +37,7 @@
 
 @dataclass(slots=True)
 class GuaranteedRate:
-    """One contract as its tenant's group applies it."""
+    """One contract in the state of its tenant's group."""
 
     tenant: str
     version: int
@@ -44,38 +45,39 @@
     intervals: list[Interval]
     pool: LeasePool
     pending: OpenContract | None = None
-    last_lease_before: int = 0  # the last lease's number when this version came into force
+    last_older_lease_number: int = 0  # the highest lease number granted before this version
     answers: dict[MemberId, AnsweredRequest] = field(default_factory=dict)
     # The last sequence number of each process of a holder; the newest process is last.
     sequences: dict[MemberId, dict[str, int]] = field(default_factory=dict)
     tally: UsageTally = field(default_factory=UsageTally)
 
     def is_stale(self, command: RequestLease) -> bool:
-        """Whether a later call of that holder was applied already; if not, this one is noted as the last.
-        A holder without a lease may be forgotten and begins anew, and so does a process before the last
-        `MAX_PROCESSES_PER_HOLDER`."""
+        """Whether a later call of that holder was already applied; if not, record this one as the last.
+        Sequence numbers of holders without a lease may be dropped, and so are those of all but the last
+        `MAX_PROCESSES_PER_HOLDER` processes of a holder."""
         if not command.sequence:
             return False
-        known = self.sequences.pop(command.holder, {})
-        stale = command.process in known and (
-            command.process != next(reversed(known)) or command.sequence <= known[command.process]
+        sequences_by_process = self.sequences.pop(command.holder, {})
+        stale = command.process in sequences_by_process and (
+            command.process != next(reversed(sequences_by_process))
+            or command.sequence <= sequences_by_process[command.process]
         )
         if not stale:
-            known[command.process] = command.sequence
-            if len(known) > MAX_PROCESSES_PER_HOLDER:
-                del known[next(iter(known))]
-        self.sequences[command.holder] = known
+            sequences_by_process[command.process] = command.sequence
+            if len(sequences_by_process) > MAX_PROCESSES_PER_HOLDER:
+                del sequences_by_process[next(iter(sequences_by_process))]
+        self.sequences[command.holder] = sequences_by_process
         if len(self.sequences) > MAX_HOLDERS:
             leases = self.pool.leases
-            forgotten = next((who for who in self.sequences if who not in leases), command.holder)
-            del self.sequences[forgotten]
+            evicted = next((holder for holder in self.sequences if holder not in leases), command.holder)
+            del self.sequences[evicted]
         return stale
 
     def drained(self) -> bool:
-        """Whether no lease of an earlier version is left."""
+        """Whether no lease of an earlier version remains."""
         within_target = self.pool.granted() <= self.pool.target + ROUNDING_TOLERANCE
         return within_target and all(
-            lease.number > self.last_lease_before for lease in self.pool.leases.values()
+            lease.number > self.last_older_lease_number for lease in self.pool.leases.values()
         )
 
     def interval_at(self, at_ms: float) -> Interval | None:
@@ -90,7 +92,7 @@
         )
 
     def next_change(self, interval: Interval) -> ShareChange:
-        """The next one within an interval: its end, or the pending version's moment."""
+        """The next change within an interval: its end, or the start of the pending version."""
         pending = self.pending
         if pending is None or pending.effective_from_ms >= interval.end_ms:
             return ShareChange(interval.end_ms, 0.0)
@@ -99,7 +101,7 @@
         return ShareChange(at_ms, min(pending.rate / self.rate, 1.0) if holds else 0.0)
 
     def lease_answer(self, at_ms: float, interval: Interval | None, grant: LeaseGrant) -> LeaseAnswer:
-        """The answer to a lease request that was granted.  `interval`: the one that it is for."""
+        """The answer to a granted lease request.  `interval`: the interval that the lease is for."""
         change = self.next_change(interval) if interval is not None else ShareChange(0.0, 0.0)
         return LeaseAnswer(
             lease_number=grant.number,
@@ -121,7 +123,7 @@
         )
 
     def dump(self) -> list[Any]:
-        """Plain data, as it is stored in a snapshot behind the contract's name."""
+        """The contract as plain data, stored in a snapshot after its name."""
         return [
             self.tenant,
             self.version,
@@ -129,7 +131,7 @@
             self.intervals,
             self.pool.dump(),
             msgspec.to_builtins(self.pending),
-            self.last_lease_before,
+            self.last_older_lease_number,
             self.answers,
             self.sequences,
             self.tally.dump(),
@@ -137,8 +139,19 @@
 
     @classmethod
     def load(cls, record: list[Any]) -> GuaranteedRate:
-        """The reverse of `dump`."""
-        tenant, version, rate, intervals, pool, pending, last_lease_before, answers, sequences, tally = record
+        """Load the result of `dump`."""
+        (
+            tenant,
+            version,
+            rate,
+            intervals,
+            pool,
+            pending,
+            last_older_lease_number,
+            answers,
+            sequences,
+            tally,
+        ) = record
         return cls(
             tenant,
             version,
@@ -146,7 +159,7 @@
             [Interval(start_ms, end_ms) for start_ms, end_ms in intervals],
             LeasePool.load(pool),
             msgspec.convert(pending, OpenContract | None),
-            last_lease_before,
+            last_older_lease_number,
             {holder: AnsweredRequest(*answered) for holder, answered in answers.items()},
             sequences,
             UsageTally.load(tally),
--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -1,8 +1,8 @@
-"""Guaranteed rates: the part of a tenant's group that divides its contracts over the gateways.
+"""Guaranteed rates: the part of a tenant's group that divides the tenant's contracts among the gateways.
 
 Each contract's rate and burst are leased to gateways by a `badgeryoke.cluster.leases.lease_pool.LeasePool`.
-A pending version takes effect at its moment; once no lease of an earlier version is left the cluster's own
-group is notified (`VersionDrained`).  Usage is settled here, and shortfalls are reported.
+A pending version takes effect at its `effective_from_ms`; once no lease of an earlier version remains, the
+cluster's own group is notified (`VersionDrained`).  Usage is settled here, and shortfalls are reported.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 from badgeryoke.cluster.timings import Timings
 
 MAX_CONTRACTS_PER_GROUP = 1000
-RETENTION_LEASE_TIMES = 10  # behind its last window a contract is closed here
+RETENTION_LEASE_TIMES = 10  # lease times after its last window until a contract is dropped here
 
 
 class GuaranteedRates:
@@ -46,11 +46,11 @@
     def __init__(self, timings: Timings, rules: Invariants) -> None:
         self._timings, self._rules = timings, rules
         self.contracts: dict[str, GuaranteedRate] = {}
-        # Of any contract: one that is opened again does not begin at 1.
+        # Over all contracts, so that the numbers of a reopened contract do not start at 1 again.
         self.last_lease_number = 0
         self._drained_retries = RetrySchedule()
         self._shortfall_retries = RetrySchedule()
-        self._unseen: set[str] = set()  # contracts with leases that this machine's clock has not seen yet
+        self._unseen: set[str] = set()  # contracts with leases that `seen` has not marked yet
 
     # Commands
     # ------------------------------------------------------------------------------------
@@ -80,7 +80,7 @@
         return _unknown_command(command)
 
     def _open(self, at_ms: float, command: OpenContract) -> ApplyResult:
-        for name in [name for name, one in self.contracts.items() if self._is_over(at_ms, one)]:
+        for name in [name for name, candidate in self.contracts.items() if self._is_over(at_ms, candidate)]:
             del self.contracts[name]
         contract = self.contracts.get(command.contract)
         if contract is None:
@@ -102,26 +102,26 @@
         return ApplyResult(contract.version)
 
     def _is_over(self, at_ms: float, contract: GuaranteedRate) -> bool:
-        """Whether the last window is over and the last lease has expired."""
+        """Whether the last window ended long enough ago and no lease remains."""
         last_end_ms = contract.intervals[-1].end_ms if contract.intervals else 0.0
         retained_ms = RETENTION_LEASE_TIMES * self._timings.outlast()
         return contract.pending is None and not contract.pool.leases and at_ms > last_end_ms + retained_ms
 
     def _apply_pending(self, at_ms: float, contract: GuaranteedRate) -> None:
-        """A pending version takes effect at its moment."""
+        """Apply the pending version if it is due."""
         if contract.pending is not None and at_ms >= contract.pending.effective_from_ms:
             self._switch_to(contract, contract.pending)
 
     def _switch_to(self, contract: GuaranteedRate, opened: OpenContract) -> None:
-        first = contract.version == 0
+        is_first_version = contract.version == 0
         contract.version, contract.rate = opened.version, opened.rate
         contract.intervals, contract.tenant = list(opened.intervals), opened.tenant
         contract.pool.resize(opened.rate if opened.intervals else 0.0, opened.burst)
-        if first:
+        if is_first_version:
             contract.pool.free_units = opened.burst
         if contract.pending is not None and contract.pending.version <= opened.version:
             contract.pending = None
-        contract.last_lease_before = self.last_lease_number
+        contract.last_older_lease_number = self.last_lease_number
 
     def _request_lease(self, at_ms: float, contract: GuaranteedRate, command: RequestLease) -> ApplyResult:
         answered = contract.answers.get(command.holder)
@@ -149,7 +149,8 @@
     def _grant(
         self, contract: GuaranteedRate, command: RequestLease, within_window: bool
     ) -> LeaseGrant | InvalidCall | LeaseExpired:
-        """Outside of a window nothing is granted; what a holder keeps counts until it gives it back."""
+        """Request a lease from the pool.  Outside a window nothing is granted, but a holder's kept share counts
+        until it is returned."""
         pool = contract.pool
         pool.last_number = self.last_lease_number
         request = LeaseRequest(
@@ -189,7 +190,7 @@
 
     @staticmethod
     def _switch_version(at_ms: float, contract: GuaranteedRate) -> ApplyResult:
-        """The pending version was applied before; usage is settled, as nobody may report any more."""
+        """Settle usage that is due, as there may be no more reports; `apply` has switched the version already."""
         tally = contract.tally
         if tally.open_slices or tally.undrawn:
             until = int(at_ms // SLICE_MS) - SETTLEMENT_DELAY_SLICES
@@ -201,7 +202,8 @@
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
         """See badgeryoke.cluster.state_machine_part.  Releases leases that have expired by this machine's
-        clock, notifies of drained versions, and lets versions and settlement go on with time."""
+        clock, reports drained versions and shortfalls, and proposes version switches and settlements that are
+        due."""
         self.seen(view.now)
         return [
             *self._release_expired(view),
@@ -237,7 +239,7 @@
         return tasks
 
     def _switch_pending(self, wall: float) -> list[Command]:
-        """Versions whose moment has come, though no gateway may call."""
+        """Switches to pending versions that are due, in case no gateway calls."""
         return [
             SwitchVersion(id="turn", tenant=contract.tenant, contract=contract.pending.contract)
             for contract in self.contracts.values()
@@ -245,7 +247,7 @@
         ]
 
     def _settle_idle(self, wall: float) -> list[Command]:
-        """Usage that is due to be settled, though no gateway may report."""
+        """Settlements of usage that are due, in case no gateway reports."""
         until = int((wall - BUSY_PERIOD_GAP_MS) // SLICE_MS) - SETTLEMENT_DELAY_SLICES
         return [
             SwitchVersion(id="tally", tenant=contract.tenant, contract=name)
--- a/badgeryoke/cluster/reservations/lease_client.py
+++ b/badgeryoke/cluster/reservations/lease_client.py
@@ -1,11 +1,11 @@
-"""A gateway's side of contracts: it keeps a lease on each of them and draws requests from it.
+"""A gateway's client for contracts: it keeps a lease on each contract, from which requests draw units.
 
-`ReservationClient` polls for the contracts there are, renews the lease on each, reports usage and shortfalls,
-and serves the requests of customers with a contract.  All its calls may be repeated: they bear ids that are
-unique to the process, and reports are totals.
+`ReservationClient` polls for contracts, renews the lease on each, reports usage and shortfalls, and draws units
+for the requests of customers with a contract.  All its calls may be repeated: their ids are unique to the
+process, and reports are totals.
 
-A share that the tenant does not use is lent to other customers here; it is the tenant's again with its first
-request here, and within `SHARED_PERIOD_MS` and a call where its requests come in elsewhere.
+A share that the tenant does not use is lent to other customers of this gateway.  The tenant gets it back with
+its first request here, or, if its requests arrive at another gateway, within `SHARED_RENEWAL_MS` plus one call.
 
 Times are ms: `now` by this machine's monotonic clock, `wall` Unix time.
 """
@@ -30,28 +30,28 @@
     ReportUsage,
     RequestLease,
 )
-from badgeryoke.cluster.reservations.contract_lease import (
-    ContractLease,
-)
+from badgeryoke.cluster.reservations.contract_lease import ContractLease
 from badgeryoke.cluster.reservations.lease_renewal import Renewal, apply_renewal, plan_renewal
 from badgeryoke.cluster.reservations.lease_table import LeaseTable
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 from badgeryoke.cluster.timings import Timings
 
 POLL_MS = 1000.0  # between two polls for contracts
-POLL_MS_PER_GATEWAY = 10.0  # of a large cluster
-REPEAT_MS = 300.0  # without any answer: the same call again, which is harmless
-FIRST_RETRY_MS = 50.0  # after a call without an outcome, doubled up to MAX_RETRY_MS
+POLL_MS_PER_GATEWAY = 10.0  # minimum poll period per gateway, which matters in large clusters
+# Time without an answer after which the same call is sent again; calls are idempotent.
+RESEND_AFTER_MS = 300.0
+FIRST_RETRY_MS = 50.0  # pause after a call without a known outcome; doubled up to MAX_RETRY_MS
 MAX_RETRY_MS = 400.0
 MAX_RETRY_DOUBLINGS = 8
 SHORTFALL_REPORT_MS = 1000.0  # between two reports of a contract's shortfalls
 USAGE_REPORT_MS = 500.0  # between two reports of a contract's usage
-FLEET_KEY = ""  # of calls to the cluster's own group
+FLEET_KEY = ""  # the key of commands to the cluster's own group
 
 
 @dataclass(frozen=True, slots=True)
 class ReservedUnits:
-    """Units drawn under a lease: the request goes before all others, and no quota and no load rejects it."""
+    """Units drawn under a lease.  The request has priority over all others and is not rejected by quotas or load
+    shedding."""
 
     contract: str
     units: float
@@ -59,28 +59,28 @@
 
 
 def _no_wake() -> None:
-    """No one waits for calls."""
+    """The default of `ReservationClient.wake`: does nothing."""
 
 
 class ReservationClient:
     """All leases of one gateway; a `badgeryoke.cluster.node_setup.LeaseClient`.
 
-    `me`: this member; `process`: drawn at each start, so that ids and totals of two processes differ.
+    `member_id`: this member; `process`: chosen at each start, so that the ids and totals of two processes differ.
     """
 
     def __init__(
-        self, me: MemberId, process: str, timings: Timings, zone: str = "", gateways: int = 1
+        self, member_id: MemberId, process: str, timings: Timings, zone: str = "", gateways: int = 1
     ) -> None:
-        self._me, self._process, self._timings = me, process, timings
-        self._reporter = f"{me}#{process}"
+        self._member_id, self._process, self._timings = member_id, process, timings
+        self._reporter = f"{member_id}#{process}"
         self.poll_ms = max(POLL_MS, POLL_MS_PER_GATEWAY * gateways)
         self._table = LeaseTable(zone)
         self._revision, self._polled_ms = -1, -math.inf
-        self._in_flight: dict[str, Command] = {}  # one call of each lane at a time
+        self._in_flight: dict[str, Command] = {}  # by lane; each lane has one call at a time
         self._calls_made = 0
-        self._wall_offset_ms = 0.0  # wall less now
-        self.due = math.inf  # it has a call to make by then, before it is polled again anyway
-        self.wake: Callable[[], None] = _no_wake  # called when a request has moved `due` forward
+        self._wall_offset_ms = 0.0  # wall clock minus monotonic clock
+        self.due = math.inf  # when the next call is due, if that is before the next regular `poll`
+        self.wake: Callable[[], None] = _no_wake  # called when `due` becomes earlier
 
     @property
     def leases(self) -> dict[str, ContractLease]:
@@ -105,16 +105,16 @@
 
     @staticmethod
     def _lane(command: Command) -> str:
-        """Calls of one lane are made one after the other; reports of usage wait for no lease, and no lease
-        for them."""
+        """The lane of a command: calls in one lane are made one after the other.  Usage reports have a lane of
+        their own, so that they and lease requests do not wait for each other."""
         return _usage_lane(command.key()) if isinstance(command, ReportUsage) else command.key()
 
     def _lease_calls(self, now: float, wall: float, lanes: set[str]) -> Iterator[Command]:
-        """`lanes`: those in use; it grows."""
+        """`lanes`: the lanes in use; lanes of the calls made here are added to it."""
         for lease in sorted(self.leases.values(), key=lambda lease: lease.sent_ms):
-            # A repeat of the call in flight does not wait for its own lane.
-            repeats = lease.pending is not None and now >= lease.retry_ms
-            if not repeats and f"t:{lease.tenant}" in lanes:
+            # Resending the call in flight does not wait for its own lane.
+            resends = lease.pending is not None and now >= lease.retry_ms
+            if not resends and f"t:{lease.tenant}" in lanes:
                 continue
             call = self._lease_call(now, wall, lease)
             if call is not None:
@@ -125,7 +125,7 @@
         if lease.pending is not None:
             if now < lease.retry_ms:
                 return None
-            lease.retry_ms = now + REPEAT_MS
+            lease.retry_ms = now + RESEND_AFTER_MS
             return lease.pending
         lease.fill(now, wall)
         renewal = plan_renewal(now, wall, lease, self._timings.lease_ms)
@@ -137,15 +137,15 @@
         return self._request_lease(now, lease, renewal)
 
     def _request_lease(self, now: float, lease: ContractLease, renewal: Renewal) -> RequestLease:
-        """Use less from here on, then request what is wanted."""
+        """Reduce use to what the request keeps, then make the request."""
         change = apply_renewal(now, lease, renewal)
-        lease.retry_ms = now + REPEAT_MS
+        lease.retry_ms = now + RESEND_AFTER_MS
         call_id = self._next_id()
         lease.pending = RequestLease(
             id=call_id,
             tenant=lease.tenant,
             contract=lease.contract,
-            holder=self._me,
+            holder=self._member_id,
             lease_number=lease.lease_number,
             kept_rate=renewal.kept_rate,
             wanted_rate=renewal.wanted_rate,
@@ -161,7 +161,7 @@
         return lease.pending
 
     def _usage_calls(self, now: float, wall: float, lanes: set[str]) -> Iterator[Command]:
-        """Usage in slices that are over and can change no more.  `lanes`: those in use; it grows."""
+        """Reports of slices that are final.  `lanes`: see `_lease_calls`."""
         for lease in self.leases.values():
             lane = _usage_lane(f"t:{lease.tenant}")
             if lane in lanes or now < lease.next_usage_report_ms:
@@ -181,7 +181,7 @@
             )
 
     def _fleet_calls(self, now: float, lanes: set[str]) -> Iterator[Command]:
-        """One call at most: a report of a shortfall before the poll for contracts."""
+        """At most one call; shortfall reports come before the poll for contracts."""
         if FLEET_KEY in lanes:
             return
         for lease in self.leases.values():
@@ -235,26 +235,26 @@
     def _lease_answered(
         self, now: float, lease: ContractLease, error: ClusterError | None, value: Any
     ) -> None:
-        """`value`: a LeaseAnswer as plain data, as it was sent."""
+        """`value`: a LeaseAnswer as plain data."""
         wall = now + self._wall_offset_ms
         lease.fill(now, wall)
         match error:
             case None:
                 answer = msgspec.convert(value, LeaseAnswer)
-                lease.renewed(now, wall, answer, self._timings.lease_ms)
+                lease.apply_grant(now, wall, answer, self._timings.lease_ms)
                 lease.clock.observe(now, lease.requested_ms, answer.at_ms, self._timings.clock_drift)
             case LeaseExpired() | InvalidCall():
                 doublings = min(lease.rejections + 1, MAX_RETRY_DOUBLINGS)
-                lease.expired(now, min(FIRST_RETRY_MS * 2.0**doublings, MAX_RETRY_MS))
-            case NotFound():  # not open there yet, or not any more
+                lease.mark_expired(now, min(FIRST_RETRY_MS * 2.0**doublings, MAX_RETRY_MS))
+            case NotFound():  # not open there yet, or no longer open
                 lease.pending, lease.retry_ms = None, math.inf
                 lease.sent_ms, lease.pause_ms = now, MAX_RETRY_MS
-            case _:  # it may have been applied: only the same call can tell
+            case _:  # the call may have been applied: only repeating it shows the outcome
                 lease.pause_ms = min(max(2.0 * lease.pause_ms, FIRST_RETRY_MS), MAX_RETRY_MS)
                 lease.retry_ms = now + lease.pause_ms
 
     def _renew_soon(self, now: float, lease: ContractLease) -> None:
-        """Request more as soon as that may be, if the lease has too little."""
+        """Schedule the next request as early as the pause allows, if the lease has too little."""
         if lease.pending is not None:
             return
         if lease.waiting or lease.share <= 0.0 or lease.lacks_share(lease.wanted_rate):
@@ -267,8 +267,8 @@
     # ------------------------------------------------------------------------------------
 
     def take(self, now: float, customer: int, units: float) -> ReservedUnits | None:
-        """Draw from a customer's first contract that has the units here.  None: `wait`, or serve it as an
-        ordinary request."""
+        """Draw units from the customer's first contract with enough of them in this gateway's bucket.  Returns
+        None if there is none: the caller may `wait`, or serve it as an ordinary request."""
         wall = now + self._wall_offset_ms
         for lease in self._table.open_for(customer, now, wall):
             lease.record(now, wall, units)
@@ -279,55 +279,55 @@
         return None
 
     def wait(self, now: float, customer: int, units: float, token: Any) -> bool:
-        """Let a request wait for which `take` had no units, in order and for at most `MAX_WAIT_MS`;
-        `finished_waits` gives its token back.  False where more wait than can be served by then: it is an
-        ordinary request."""
+        """Queue a request for which `draw` had no units, for at most `MAX_WAIT_MS`; `finished_waits` returns its
+        token.  Returns False if the queue is too long for it to be served in that time: it is then an ordinary
+        request."""
         wall = now + self._wall_offset_ms
         for lease in self._table.open_for(customer, now, wall):
-            waits = lease.wait(now, wall, units, token)
+            is_queued = lease.wait(now, wall, units, token)
             self._renew_soon(now, lease)
-            if waits:
+            if is_queued:
                 return True
         return False
 
     def finished_waits(self, now: float) -> list[tuple[Any, ReservedUnits | None]]:
-        """The tokens of requests whose wait is over, each with the units drawn for it, or None where there
-        were none in time."""
+        """Remove the requests whose wait is over; returns their tokens, each with the units drawn for it, or None
+        if there were none in time."""
         finished: list[tuple[Any, ReservedUnits | None]] = []
         wall = now + self._wall_offset_ms
         for lease in self.leases.values():
-            for request, drawn in lease.finished_waits(now, wall):
-                reserved = ReservedUnits(lease.contract, request.units, lease.rank) if drawn else None
+            for request, was_drawn in lease.finished_waits(now, wall):
+                reserved = ReservedUnits(lease.contract, request.units, lease.rank) if was_drawn else None
                 finished.append((request.token, reserved))
         return finished
 
     def failed(self, now: float, reserved: ReservedUnits, cause: str) -> None:
-        """Units were drawn and no server served them: a shortfall, by a cause ("load", "server lost", ...)."""
+        """Count drawn units that no server served as a shortfall, by cause ("load", "server lost", ...)."""
         if (lease := self.leases.get(reserved.contract)) is not None:
             lease.record_shortfall(cause, reserved.units, now + self._wall_offset_ms)
 
-    # Figures
+    # Rates and status
     # ------------------------------------------------------------------------------------
 
     def idle_rate(self, now: float) -> float:
-        """Units a second of shares held here that the tenants do not use now: they are lent."""
+        """Units a second of this gateway's shares that the tenants do not use now; they are lent."""
         wall = now + self._wall_offset_ms
         idle = 0.0
         for lease in self.leases.values():
-            if wall >= lease.from_ms:
+            if wall >= lease.window_start_ms:
                 lease.fill(now, wall)
                 idle += lease.idle_share(now)
         return idle
 
     def held_rate(self, now: float) -> float:
-        """Units a second that this gateway holds of all contracts."""
+        """Units a second of this gateway's shares of all contracts."""
         wall = now + self._wall_offset_ms
         for lease in self.leases.values():
             lease.fill(now, wall)
-        return sum(lease.share for lease in self.leases.values() if wall >= lease.from_ms)
+        return sum(lease.share for lease in self.leases.values() if wall >= lease.window_start_ms)
 
     def status(self, now: float) -> dict[str, Any]:
-        """What operators are shown: plain data, by the keys of the management interface."""
+        """The status of all leases for operators, with the keys of the management interface."""
         return {name: lease.status(now) for name, lease in self.leases.items()}
 
 
--- a/badgeryoke/cluster/reservations/lease_table.py
+++ b/badgeryoke/cluster/reservations/lease_table.py
@@ -1,4 +1,4 @@
-"""The leases of one gateway, by contract and by customer, as the last poll for contracts left them."""
+"""The leases of one gateway by contract and by customer, updated with each poll for contracts."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 from badgeryoke.cluster.reservations.answers import ContractFacts
 from badgeryoke.cluster.reservations.contract_lease import ContractLease, CustomersFrom
 
-SETTLED_RETENTION_MS = 60_000.0  # behind its last lease a settled contract is kept for its last reports
+# How long after its lease expired a settled contract is kept for its last reports.
+SETTLED_RETENTION_MS = 60_000.0
 
 
 class LeaseTable:
-    """See the module.  `zone`: of this gateway; contracts of other zones are left out."""
+    """All leases of a gateway.  `zone`: this gateway's zone; contracts of other zones are ignored."""
 
     def __init__(self, zone: str) -> None:
         self._zone = zone
@@ -19,7 +20,7 @@
         self._by_customer: dict[int, list[ContractLease]] = {}
 
     def update(self, now: float, contracts: Iterable[ContractFacts]) -> None:
-        """Take in all contracts that there are (`now`: monotonic ms)."""
+        """Replace the known contracts by those of a poll (`now`: monotonic ms)."""
         leases: dict[str, ContractLease] = {}
         for facts in contracts:
             if facts.zone and facts.zone != self._zone:
@@ -35,7 +36,7 @@
                 for version in facts.versions
             ]
         for name, lease in self.by_contract.items():
-            # Settled: the lease expires by itself, and what is unreported is reported first.
+            # Settled: the lease expires, and unreported usage and shortfalls are reported first.
             unreported = lease.usage.slices or lease.shortfalls != lease.confirmed_shortfalls
             if name not in leases and unreported and now < lease.expires_ms + SETTLED_RETENTION_MS:
                 leases[name] = lease
@@ -43,8 +44,8 @@
         self._by_customer = _by_customer(leases.values())
 
     def open_for(self, customer: int, now: float, wall: float) -> Iterator[ContractLease]:
-        """Leases on the contracts of a customer whose window holds now, filled up to now; those of the most
-        important contracts first."""
+        """The leases on a customer's contracts that are in force now, filled up to now, in order of the
+        contracts' importance."""
         for lease in self._by_customer.get(customer, ()):
             interval = lease.interval_at(wall)
             if interval is not None and wall >= interval.start_ms and lease.has_customer(customer, wall):
@@ -53,10 +54,10 @@
 
 
 def _by_customer(leases: Iterable[ContractLease]) -> dict[int, list[ContractLease]]:
-    """The leases of each customer, those of the most important contracts first."""
-    found: dict[int, list[ContractLease]] = {}
+    """The leases of each customer, in order of the contracts' importance."""
+    leases_by_customer: dict[int, list[ContractLease]] = {}
     for lease in sorted(leases, key=lambda lease: (lease.rank, lease.contract)):
-        customers = {customer for known in lease.customers for customer in known.customers}
+        customers = {customer for customers_from in lease.customers for customer in customers_from.customers}
         for customer in sorted(customers):
-            found.setdefault(customer, []).append(lease)
-    return found
+            leases_by_customer.setdefault(customer, []).append(lease)
+    return leases_by_customer
--- a/badgeryoke/cluster/reservations/reserved_capacity.py
+++ b/badgeryoke/cluster/reservations/reserved_capacity.py
@@ -1,8 +1,8 @@
-"""Capacity that may be reserved, and whether contracts fit it.
+"""The capacity that may be reserved, and the check whether contracts fit.
 
-What may be reserved is the stated capacity less a fraction for losses, less a rate for requests without a
-contract.  Zones have a part of it in proportion to their own capacity.  Rates are units a second, times Unix
-ms.
+The available capacity is the stated capacity minus a fraction for the loss of capacity, minus a rate for requests
+without a contract.  Each zone has a part of it in proportion to its own capacity.  Rates are units a second,
+times Unix ms.
 """
 
 from __future__ import annotations
@@ -23,30 +23,30 @@
 from badgeryoke.cluster.reservations.terms import ContractTerms
 from badgeryoke.cluster.timings import Timings
 
-ROUNDING_TOLERANCE = 1e-6  # units a second, of sums over contracts
-WHOLE_CLUSTER = ""  # in place of a zone
+ROUNDING_TOLERANCE = 1e-6  # units a second, in comparisons of sums over contracts
+WHOLE_CLUSTER = ""  # in place of a zone's name
 
 
 class ReservedCapacity:
-    """The stated capacity; the contracts that take it are given to each method."""
+    """The stated capacity; the contracts that reserve it are passed to each method."""
 
     def __init__(self, timings: Timings, rules: Invariants) -> None:
         self._timings, self._rules = timings, rules
         self.capacity = 0.0
         self.reserve_fraction = 0.0
         self.unreserved_rate = 0.0
-        self.zones: dict[str, float] = {}  # capacity of each
-        self.revision = 0  # times that a capacity was stated
-        # What was reserved already when less capacity was stated, by zone.
+        self.zones: dict[str, float] = {}  # the capacity of each zone
+        self.revision = 0  # how often a capacity was stated
+        # The peak rate, by zone, that was already reserved when the capacity was stated; 0 once it fits.
         self.overcommitted: dict[str, float] = {}
 
     @property
     def lease_tail_ms(self) -> float:
-        """How long behind a window's end a lease may still be in use."""
+        """How long after the end of a window a lease may still be in use."""
         return self._timings.outlast()
 
     def available(self, zone: str = WHOLE_CLUSTER) -> float:
-        """What may be reserved: in all, or in a zone."""
+        """The rate that may be reserved in the cluster or a zone."""
         if not zone:
             return max(self.capacity * (1.0 - self.reserve_fraction) - self.unreserved_rate, 0.0)
         fraction = self.zones.get(zone, self.capacity) / self.capacity if self.capacity else 0.0
@@ -55,7 +55,7 @@
     def profile(
         self, contracts: Iterable[Contract], zone: str = WHOLE_CLUSTER, without: str = ""
     ) -> CapacityProfile:
-        """What contracts take over time, in all or in a zone, but for one contract."""
+        """The rate that contracts reserve over time in the cluster or a zone; `without`: a contract to leave out."""
         return CapacityProfile(
             interval
             for contract in contracts
@@ -73,7 +73,7 @@
         reserved: list[ReservedInterval],
         terms: ContractTerms,
     ) -> InsufficientCapacity | None:
-        """Why a contract does not fit beside all others, or None.  `reserved`: all that it would take."""
+        """Why a contract does not fit with all others, or None.  `reserved`: all that it would reserve."""
         contracts = list(contracts)
         limits = [
             CapacityLimit(self.profile(contracts, zone, without=name), self.available(zone))
@@ -94,11 +94,11 @@
             fits_from_ms=earliest_fit_ms(limits, reserved),
         )
 
-    def restate(self, contracts: Iterable[Contract], at_ms: float, command: SetCapacity) -> float:
-        """Take in another capacity; gives by how much contracts exceed it.
+    def set_capacity(self, contracts: Iterable[Contract], at_ms: float, command: SetCapacity) -> float:
+        """Set the capacity; returns by how much the reserved rate exceeds it.
 
-        What was reserved stays reserved; until it fits again nothing new is admitted, and
-        `badgeryoke.cluster.reservations.priority_shedding` decides what is shed first."""
+        Existing contracts stay admitted.  Until they fit again no other is admitted, and
+        `badgeryoke.cluster.reservations.priority_shedding` decides which requests are shed first."""
         contracts = list(contracts)
         self.capacity = command.capacity
         self.reserve_fraction = command.reserve_fraction
@@ -111,8 +111,8 @@
         return max(self.overcommitted[WHOLE_CLUSTER] - self.available(), 0.0)
 
     def verify(self, contracts: Iterable[Contract], at_ms: float) -> None:
-        """Check the invariant: what is reserved fits from here on, but for what was reserved when less
-        capacity was stated."""
+        """Check the invariant that the reserved rate fits from `at_ms` on, except for contracts that already
+        exceeded the capacity when it was stated."""
         contracts = list(contracts)
         for zone in (WHOLE_CLUSTER, *self.zones):
             self._verify_zone(contracts, zone, at_ms)
--- a/badgeryoke/cluster/reservations/retry_schedule.py
+++ b/badgeryoke/cluster/reservations/retry_schedule.py
@@ -1,7 +1,7 @@
-"""When to send a request to another group again: after a pause that doubles with each attempt.
+"""Retries of requests to another group, with a pause that doubles with each attempt.
 
-The ids of the requests make a repeat harmless, so they are repeated until the state shows that one was
-answered and the request is not wanted any more.
+Requests are idempotent by their ids, so they are repeated until the state shows that one was answered and the
+request is no longer needed.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 
 class RetrySchedule:
-    """The requests of one leader that are unanswered; not part of the replicated state."""
+    """The unanswered requests of one leader; not part of the replicated state."""
 
     def __init__(self) -> None:
         self._retries: dict[str, _Retry] = {}
 
-    def due(self, wanted: Iterable[str], now: float) -> list[str]:
-        """The ids of requests to send now (monotonic ms).  Ids that are not wanted are forgotten."""
-        before, self._retries = self._retries, {}
+    def due(self, request_ids: Iterable[str], now: float) -> list[str]:
+        """The ids, out of all that are still needed, to send now (monotonic ms).  Other ids are dropped."""
+        previous, self._retries = self._retries, {}
         due: list[str] = []
-        for request_id in wanted:
-            retry = before.get(request_id, _Retry(now, FIRST_RETRY_MS))
+        for request_id in request_ids:
+            retry = previous.get(request_id, _Retry(now, FIRST_RETRY_MS))
             if now >= retry.next_ms:
                 due.append(request_id)
                 retry = _Retry(now + retry.pause_ms, min(2 * retry.pause_ms, MAX_RETRY_MS))
@@ -38,5 +38,5 @@
         return due
 
     def clear(self) -> None:
-        """Forget all of them."""
+        """Drop all requests."""
         self._retries.clear()
--- a/badgeryoke/cluster/reservations/terms.py
+++ b/badgeryoke/cluster/reservations/terms.py
@@ -1,4 +1,4 @@
-"""Terms of a contract: which rate is reserved, for whom, and over which windows of time.
+"""Terms of a contract: the reserved rate, its tenant, and the time windows in which it is reserved.
 
 A contract reserves a rate (units a second) and a burst (units) for a tenant, which is a set of customers.
 Times are Unix milliseconds throughout.  Terms are stored and sent by the field names that `name=` states.
@@ -14,25 +14,25 @@
 
 import msgspec
 
-MAX_CUSTOMERS = 1000  # of one contract
-MAX_INTERVALS_PER_CONTRACT = 512  # that one contract's windows expand to
+MAX_CUSTOMERS = 1000  # per contract
+MAX_INTERVALS_PER_CONTRACT = 512  # after its windows are expanded
 MAX_CONTRACT_LENGTH_MS = 366 * 24 * 3_600_000.0  # from the first window's start to the last one's end
 MAX_RATE = 1e9  # units a second; also the largest burst, in units
 MAX_COUNTER = 1 << 53  # exclusive; larger integers do not survive every JSON reader
-MAX_RANK = 9  # the class of least importance: it is shed first when capacity falls short
+MAX_RANK = 9  # the least important class, which is shed first when capacity is short
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
 
 class Interval(NamedTuple):
-    """A half-open time, [start_ms, end_ms).  Stored and sent as an array of two numbers."""
+    """A half-open interval of time, [start_ms, end_ms).  Stored and sent as an array of two numbers."""
 
     start_ms: float
     end_ms: float
 
 
 class Window(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """When a contract holds: [from_ms, to_ms), repeated each `every_ms` while a repetition starts before
-    `until_ms`.  Both are 0 for a window that is not repeated."""
+    """A time in which a contract is in force: [from_ms, to_ms), repeated every `every_ms` as long as a
+    repetition starts before `until_ms`.  Both are 0 for a window that is not repeated."""
 
     from_ms: float
     to_ms: float
@@ -45,7 +45,7 @@
         return math.ceil((self.until_ms - self.from_ms) / self.every_ms) if self.every_ms else 1
 
     def validate(self) -> str:
-        """The key at fault and what is wrong with it; empty for a valid window."""
+        """The invalid key and what is wrong with it; empty for a valid window."""
         if not 0.0 <= self.from_ms < self.to_ms < math.inf:
             return "windows: expected from_ms before to_ms"
         if self.every_ms or self.until_ms:
@@ -56,15 +56,15 @@
         return ""
 
     def repeats_too_often(self) -> bool:
-        """Whether it alone exceeds the bound; checked before the repetitions are counted, since a short
-        period within a long time may overflow the count."""
+        """Whether this window alone exceeds MAX_INTERVALS_PER_CONTRACT.  Checked before the repetitions are
+        counted, because a short period over a long time may overflow the count."""
         length_ms = self.until_ms - self.from_ms
         return self.every_ms > 0.0 and length_ms > MAX_INTERVALS_PER_CONTRACT * self.every_ms
 
 
 class ContractTerms(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What is reserved.  `surplus`: requests above the rate are served as ordinary ones, else rejected.
-    `rank`: class of importance; when capacity falls short the highest number is shed first."""
+    """What a contract reserves.  `surplus`: whether requests above the rate are served as ordinary ones; they
+    are rejected otherwise.  `rank`: class of importance; the highest number is shed first."""
 
     tenant: str
     customers: tuple[int, ...]
@@ -76,7 +76,7 @@
     rank: int = 1
 
     def validate(self) -> str:
-        """The key at fault and what is wrong with it; empty for valid terms."""
+        """The invalid key and what is wrong with it; empty for valid terms."""
         if not NAME_PATTERN.fullmatch(self.tenant):
             return f"tenant: expected 1 to 64 of letters, digits, '.', '_' and '-', got {self.tenant[:64]!r}"
         if not 1 <= len(self.customers) <= MAX_CUSTOMERS or len(set(self.customers)) < len(self.customers):
@@ -93,7 +93,7 @@
 
 
 def expand_windows(windows: Iterable[Window]) -> list[Interval]:
-    """All intervals in which windows hold, in order of their start."""
+    """All intervals that windows expand to, in order of their start."""
     return sorted(
         Interval(window.from_ms + number * window.every_ms, window.to_ms + number * window.every_ms)
         for window in windows
@@ -102,12 +102,12 @@
 
 
 def validate_counter(key: str, number: int) -> str:
-    """What is wrong with a counted number, with its key; empty where it is within bounds."""
+    """The error text for an integer out of bounds, with its key; empty if it is valid."""
     return "" if 0 <= number < MAX_COUNTER else f"{key}: expected 0 to below 2^53"
 
 
 def validate_contract_name(contract: str) -> str:
-    """What is wrong with a contract's name; empty for a valid one."""
+    """The error text for an invalid contract name; empty for a valid one."""
     if NAME_PATTERN.fullmatch(contract):
         return ""
     return "contract: expected 1 to 64 of letters, digits, '.', '_' and '-'"
