--- a/tests/cluster/reservations/test_admission.py
+++ b/tests/cluster/reservations/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission control: what is admitted, what a rejection says, and how a contract moves through its states."""
+"""Admission control: which contracts are admitted, the details of a rejection, and a contract's states."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
     assert propose(registry, 1.0, "a", contract_terms(60.0, 10_000.0, 20_000.0)).error is None
     rejection = propose(registry, 1.0, "b", contract_terms(40.0, 15_000.0, 30_000.0)).error
     assert isinstance(rejection, InsufficientCapacity) and rejection.fits == pytest.approx(10.0)
-    # A lease may outlast its window by the tail.
+    # Leases may be in use after the end of the window for the lease tail.
     assert rejection.fits_from_ms == pytest.approx(20_000.0 + LEASE_TAIL_MS)
     assert propose(registry, 1.0, "b", contract_terms(10.0, 15_000.0, 30_000.0)).error is None
-    never = propose(registry, 1.0, "c", contract_terms(71.0, 15_000.0, 30_000.0)).error
-    assert isinstance(never, InsufficientCapacity) and never.fits_from_ms == 0.0
-    # Three repetitions, of which the second is reserved by another contract.
+    too_large = propose(registry, 1.0, "c", contract_terms(71.0, 15_000.0, 30_000.0)).error
+    assert isinstance(too_large, InsufficientCapacity) and too_large.fits_from_ms == 0.0
+    # Three repetitions, of which the second overlaps with another contract.
     assert propose(registry, 1.0, "d", contract_terms(60.0, 100_000.0, 110_000.0)).error is None
     repeated = contract_terms(20.0, 60_000.0, 70_000.0, every_ms=40_000.0, until_ms=150_000.0)
     assert isinstance(propose(registry, 1.0, "e", repeated).error, InsufficientCapacity)
@@ -111,7 +111,9 @@
         "settled",
     ]
     status = registry.query(ReadContracts(id="r")).value["contracts"]["a"]
-    assert status["short"] == {"load": 5.0} and status["since_ms"] == 21_000.0  # a repeat adds nothing
+    assert (
+        status["short"] == {"load": 5.0} and status["since_ms"] == 21_000.0
+    )  # a repeated report adds nothing
     assert reloaded(registry).query(ReadContracts(id="r")).value["contracts"]["a"] == status
 
 
@@ -173,7 +175,7 @@
             until_ms=start_s * 1e3 + every_ms * repetitions + 1.0 if repetitions else 0.0,
         )
         error = propose(registry, 0.0, str(number), terms).error
-        if isinstance(error, InsufficientCapacity) and error.fits > 1.0:  # what it says would fit does
+        if isinstance(error, InsufficientCapacity) and error.fits > 1.0:  # the stated rate does fit
             terms = with_rate(terms, error.fits * 0.999)
             error = propose(registry, 0.0, f"{number}b", terms).error
             assert error is None
--- a/tests/cluster/reservations/test_guaranteed_rate.py
+++ b/tests/cluster/reservations/test_guaranteed_rate.py
@@ -1,4 +1,4 @@
-"""The guaranteed rate: it follows the tenant's traffic, what is idle is lent, and what is short is counted."""
+"""The guaranteed rate: it follows the tenant's traffic, idle rate is lent, and shortfalls are counted."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class MovingTraffic:
-    """The tenant requests twice its rate at one gateway of five, another every 8 s, and is idle from 19 to
-    27 s; others request at each gateway five times what is left to them.  All figures are counted by slots
-    of 100 ms."""
+    """The tenant requests twice its rate at one of five gateways, changes the gateway every 8 s, and is idle
+    from 19 to 27 s.  Requests without a contract arrive at each gateway at five times the unreserved rate.  All
+    counts are by slots of 100 ms."""
 
     def __init__(self) -> None:
         self.simulation = LeaseSimulation(3, length_ms=40_000.0)
         self.requested, self.served = [0] * 600, [0] * 600
-        self.unreserved, self.lent = [0.0] * 600, [0.0] * 600  # units that others sent; that were lent
-        self.levels = [0.0] * GATEWAYS  # of others' buckets
+        self.unreserved, self.lent = [0.0] * 600, [0.0] * 600  # units sent without a contract; units lent
+        self.levels = [0.0] * GATEWAYS  # of the buckets for requests without a contract
         self.simulation.every(1000.0 / 120.0, self.request)
         self.simulation.every(2.0, self.serve_waiting)
         self.simulation.every(5.0, self.send_unreserved)
 
     @property
     def slot(self) -> int:
-        """The slot of the simulated time."""
+        """The current slot."""
         return int(self.simulation.time_ms // SLOT_MS)
 
     def request(self) -> None:
-        """One request of the tenant; it waits where it is not served at once."""
+        """Make one request of the tenant, which waits if it is not served immediately."""
         simulation, time_ms = self.simulation, self.simulation.time_ms
         idle = IDLE_FROM_MS <= time_ms < IDLE_TO_MS
         if not simulation.start_ms <= time_ms < simulation.end_ms or idle:
@@ -48,7 +48,7 @@
             simulation.clients[gateway].wait(simulation.now(gateway), 1, 1.0, None)
 
     def serve_waiting(self) -> None:
-        """Requests that have waited are served."""
+        """Serve requests whose wait has ended with units."""
         for gateway, client in enumerate(self.simulation.clients):
             finished = client.finished_waits(self.simulation.now(gateway))
             served = [reserved for _, reserved in finished if reserved is not None]
@@ -57,7 +57,7 @@
             self.served[self.slot] += len(served)
 
     def send_unreserved(self) -> None:
-        """Others send what is left to them, and what is lent."""
+        """Send requests without a contract, up to the unreserved rate plus the lent rate."""
         for gateway, client in enumerate(self.simulation.clients):
             idle_rate = client.idle_rate(self.simulation.now(gateway))
             self.lent[self.slot] += idle_rate / 20.0
@@ -68,8 +68,8 @@
             self.unreserved[self.slot] += sent
 
     def busy_seconds(self) -> list[int]:
-        """First slots of seconds in which the tenant requested its rate throughout, but for the start of
-        its traffic behind the idle time."""
+        """The first slots of all seconds in which the tenant requested at least its rate in every slot, except
+        around the start of traffic after the idle time."""
         back = int(IDLE_TO_MS // SLOT_MS)
         return [
             first
@@ -89,7 +89,7 @@
     assert len(seconds) > 200 and guaranteed >= 0.98
     assert simulation.max_held_rate <= CONTRACT_RATE + 1e-6  # the contract is never exceeded
     idle = range(int(IDLE_FROM_MS // SLOT_MS) + 1, int(IDLE_TO_MS // SLOT_MS))
-    # Others send all that they may, with what is lent.
+    # Requests without a contract use the unreserved rate and the lent rate.
     assert sum(traffic.unreserved[slot] for slot in idle) >= 0.95 * 30.0 * len(idle)
     still_lent = [
         slot
@@ -99,7 +99,7 @@
     assert max(still_lent, default=0) <= int((IDLE_TO_MS + 250.0) // SLOT_MS)
     simulation.run(simulation.end_ms + 15_000.0)
     shortfall = simulation.registry.contracts[CONTRACT].shortfalls.get(NO_LEASE, {}).get("-", 0.0)
-    due = 2 * 30.0 + CONTRACT_RATE * 32.0  # a burst after each idle time, and the rate
+    due = 2 * 30.0 + CONTRACT_RATE * 32.0  # a burst at the start and one after the idle time, plus the rate
     assert shortfall == pytest.approx(due - sum(traffic.served), abs=0.01 * due)
 
 
@@ -116,10 +116,10 @@
     simulation.run(6000.0 + TIMINGS.lease_ms + 1.0)
     assert client.held_rate(simulation.now(2)) == 0.0 and not simulation.request(2)
     simulation.run(10_000.0)
-    drawn = client.leases[CONTRACT].drawn
+    drawn = client.leases[CONTRACT].drawn_units
     simulation.run(45_000.0)
     shortfall = simulation.registry.contracts[CONTRACT].shortfalls[NO_LEASE]["-"]
-    missed = 7.0 * CONTRACT_RATE  # from its lease's expiry until it is connected again
+    missed = 7.0 * CONTRACT_RATE  # from the expiry of its lease until it is connected again
     assert drawn > 0.0 and missed <= shortfall <= 1.15 * missed
 
 
--- a/tests/cluster/reservations/test_lease_safety.py
+++ b/tests/cluster/reservations/test_lease_safety.py
@@ -1,6 +1,6 @@
-"""Safety: whatever is lost, late or frozen, gateways together never use more than is reserved.
+"""Safety: gateways together never use more than is reserved, despite lost or late messages and frozen gateways.
 
-Each rule is also broken on purpose, to show that the runs here would find it.
+Planted faults break each rule, to show that these runs detect it.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def run_faulty_gateways(seeds: range) -> None:
-    """Traffic at twice the rate that moves between gateways, over all that a network and clocks may do."""
+    """Traffic at twice the rate that moves between gateways, with faults of network, clocks and gateways."""
     for seed in seeds:
         simulation = LeaseSimulation(seed, length_ms=22_000.0, faulty=True)
 
@@ -54,11 +54,11 @@
 
         simulation.every(9.0, request)
         simulation.run(25_000.0)
-        assert simulation.max_held_rate > 50.0  # something was held at all
+        assert simulation.max_held_rate > 50.0  # a share was held at some time
 
 
 def run_random_holders(seeds: range) -> None:
-    """Holders of one pool that renew at random."""
+    """Holders of one pool that renew their leases at random."""
     for seed in seeds:
         random, holders = Random(seed), LeaseHolders()
         holders.begin(capacity=60.0, depth=30.0, step=0.0)
@@ -77,7 +77,7 @@
 
 @dataclass
 class HeldShare:
-    """What a holder uses: its share until a moment, and a fraction of it from then on."""
+    """The rate a holder uses: its share until `until_ms`, and a fraction of it from then on."""
 
     number: int = 0
     share: float = 0.0
@@ -86,15 +86,15 @@
     later_fraction: float = 0.0
 
     def used(self, at_ms: float) -> float:
-        """Units a second."""
+        """The rate in use, units a second."""
         if at_ms >= self.expires_ms:
             return 0.0
         return self.share if at_ms < self.until_ms else self.share * self.later_fraction
 
 
 class ChangingContracts:
-    """Contracts that are proposed, changed and cancelled at random, commands between the groups that arrive
-    late, and holders that use all they may."""
+    """Contracts that are proposed, changed and cancelled at random, with late commands between the groups and
+    holders that use their whole leases."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
@@ -103,7 +103,7 @@
         self.in_flight: list[tuple[float, Command]] = []
 
     def step(self, at_ms: int) -> None:
-        """One tenth of a second."""
+        """Simulate a tenth of a second."""
         self.propose_or_change(at_ms)
         self.deliver(at_ms)
         self.rates.seen(at_ms)
@@ -119,7 +119,7 @@
             self.registry, self.rates = reloaded(self.registry), reloaded(self.rates)
 
     def propose_or_change(self, at_ms: int) -> None:
-        """Propose, change or cancel a contract, or none."""
+        """Propose, change or cancel a contract, or do nothing."""
         action, name = self.random.random(), f"c{self.random.randrange(4)}"
         if action < 0.05:
             start_ms = at_ms + self.random.choice([0, 3000, 9000])
@@ -140,7 +140,7 @@
             self.registry.apply(at_ms, CancelContract(id=f"x{at_ms}", contract=name))
 
     def deliver(self, at_ms: int) -> None:
-        """Send what the leaders propose, and apply what has arrived."""
+        """Send the commands of the leaders, and apply those that have arrived."""
         view = leader_view(at_ms)
         self.in_flight += [
             (at_ms + self.random.choice([0, 100, 1000]), command)
@@ -151,7 +151,7 @@
         self.in_flight = [sent for sent in self.in_flight if sent[0] > at_ms]
 
     def renew(self, at_ms: int, contract: str, holder: str, held: HeldShare) -> HeldShare:
-        """A holder keeps all that it uses and wants more."""
+        """Renew a lease: the holder keeps its whole share and wants more."""
         result = self.rates.apply(
             at_ms,
             RequestLease(
@@ -173,7 +173,7 @@
 
 
 def run_changing_contracts(seeds: range) -> None:
-    """Contracts that change, on a cluster of 100 units a second, for a minute each."""
+    """Contracts that change in a cluster with a capacity of 100 units a second, one minute per seed."""
     for seed in seeds:
         contracts = ChangingContracts(seed)
         for at_ms in range(0, 60_000, 100):
@@ -193,30 +193,30 @@
 
 
 def no_margin_for_clock_drift(patch: pytest.MonkeyPatch) -> None:
-    """A lease is released after its own time, as if clocks ran alike."""
+    """A lease is released after its nominal time, without a margin for clock drift."""
     patch.setattr(Timings, "outlast", lambda self: self.lease_ms)
 
 
 def lease_counted_from_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """A holder counts its lease from the answer, not from its request."""
-    real = ReservationClient._lease_answered
+    """A holder measures the lease time from the answer, not from its request."""
+    original = ReservationClient._lease_answered
 
     def answered(
         self: ReservationClient, now: float, lease: ContractLease, error: ClusterError | None, value: Any
     ) -> None:
         lease.requested_ms = now
-        real(self, now, lease, error, value)
+        original(self, now, lease, error, value)
 
     patch.setattr(ReservationClient, "_lease_answered", answered)
 
 
 def share_kept_until_the_answer(patch: pytest.MonkeyPatch) -> None:
-    """A holder does not shrink before it says so."""
-    real = ReservationClient._request_lease
+    """A holder does not shrink its share before it sends the request."""
+    original = ReservationClient._request_lease
 
     def request(self: ReservationClient, now: float, lease: ContractLease, renewal: Renewal) -> RequestLease:
         share = lease.share
-        made = real(self, now, lease, renewal)
+        made = original(self, now, lease, renewal)
         lease.share = share
         return made
 
@@ -224,20 +224,20 @@
 
 
 def returned_units_counted_twice(patch: pytest.MonkeyPatch) -> None:
-    """Units that a holder gives back are free twice."""
-    real = LeasePool.request
+    """Units that a holder returns are added to the free units twice."""
+    original = LeasePool.request
 
-    def request(self: LeasePool, asked: LeaseRequest, rules: Invariants) -> Any:
-        number = getattr(self.leases.get(asked.holder), "number", 0)
-        if asked.returned_units > 0.0 and asked.lease_number == number:
-            self.free_units += asked.returned_units
-        return real(self, asked, rules)
+    def request(self: LeasePool, lease_request: LeaseRequest, rules: Invariants) -> Any:
+        number = getattr(self.leases.get(lease_request.holder), "number", 0)
+        if lease_request.returned_units > 0.0 and lease_request.lease_number == number:
+            self.free_units += lease_request.returned_units
+        return original(self, lease_request, rules)
 
     patch.setattr(LeasePool, "request", request)
 
 
 def unseen_lease_counted_as_expired(patch: pytest.MonkeyPatch) -> None:
-    """A lease that the leader has not seen yet is released."""
+    """A lease that the leader has not marked as seen yet is released."""
 
     def expired(self: LeasePool, now: float, outlast_ms: float, since: float) -> list[tuple[str, int]]:
         return [
@@ -251,11 +251,11 @@
 
 
 def capacity_freed_before_the_change(patch: pytest.MonkeyPatch) -> None:
-    """The version in force takes no capacity as soon as another is pending."""
-    real = ContractRegistry._change
+    """The version in force reserves no capacity once another is pending."""
+    original = ContractRegistry._change
 
     def change(self: ContractRegistry, at_ms: float, name: str, *more: Any) -> ApplyResult:
-        result = real(self, at_ms, name, *more)
+        result = original(self, at_ms, name, *more)
         if result.error is None:
             del self.contracts[name].versions[0]
         return result
@@ -284,6 +284,6 @@
     rule: Rule,
 ) -> None:
     plant(monkeypatch)
-    with pytest.raises(InvariantViolation) as caught:
+    with pytest.raises(InvariantViolation) as raised:
         run(range(12))
-    assert caught.value.rule is rule
+    assert raised.value.rule is rule
--- a/tests/cluster/reservations/test_priority_shedding.py
+++ b/tests/cluster/reservations/test_priority_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding by priority: by class of importance, and evenly within a class."""
+"""Priority shedding: by class of importance, and evenly within a class."""
 
 from __future__ import annotations
 
