--- a/badgeryoke/cluster/reservations/lease_client.py
+++ b/badgeryoke/cluster/reservations/lease_client.py
@@ -266,7 +266,7 @@
     # Requests of customers
     # ------------------------------------------------------------------------------------
 
-    def take(self, now: float, customer: int, units: float) -> ReservedUnits | None:
+    def draw(self, now: float, customer: int, units: float) -> ReservedUnits | None:
         """Draw units from the customer's first contract with enough of them in this gateway's bucket.  Returns
         None if there is none: the caller may `wait`, or serve it as an ordinary request."""
         wall = now + self._wall_offset_ms
@@ -301,7 +301,7 @@
                 finished.append((request.token, reserved))
         return finished
 
-    def failed(self, now: float, reserved: ReservedUnits, cause: str) -> None:
+    def record_unserved(self, now: float, reserved: ReservedUnits, cause: str) -> None:
         """Count drawn units that no server served as a shortfall, by cause ("load", "server lost", ...)."""
         if (lease := self.leases.get(reserved.contract)) is not None:
             lease.record_shortfall(cause, reserved.units, now + self._wall_offset_ms)
--- a/badgeryoke/gateway/reserved_admission.py
+++ b/badgeryoke/gateway/reserved_admission.py
@@ -45,7 +45,7 @@
     def leases(self) -> Mapping[str, object]:
         """The leases by contract; empty: no call is worth its time."""
 
-    def take(self, now: float, customer: int, units: float) -> ReservedUnits | None:
+    def draw(self, now: float, customer: int, units: float) -> ReservedUnits | None:
         """Draw units; None where there is no contract, or too few units now."""
 
     def wait(self, now: float, customer: int, units: float, token: Any) -> bool:
@@ -54,7 +54,7 @@
     def finished_waits(self, now: float) -> list[tuple[Any, ReservedUnits | None]]:
         """Take out who has waited long enough, with the units drawn or None."""
 
-    def failed(self, now: float, reserved: ReservedUnits, cause: str) -> None:
+    def record_unserved(self, now: float, reserved: ReservedUnits, cause: str) -> None:
         """Count units that were drawn and not served."""
 
 
@@ -79,7 +79,7 @@
         pending.unserved_cause = UnservedCause.LATE
         try:
             request = pending.request
-            pending.reserved_units = self._leases.take(self._now(), request.customer, request.units)
+            pending.reserved_units = self._leases.draw(self._now(), request.customer, request.units)
         except Exception:  # a fault in the leases makes it an ordinary request
             self._record_fault()
         return pending.reserved_units is not None
@@ -118,7 +118,7 @@
         """Units were drawn for a request that has its final response, and no server served it."""
         try:
             # Plain text: the cause becomes a key in the cluster's records.
-            self._leases.failed(self._now(), reserved_units, str(cause))
+            self._leases.record_unserved(self._now(), reserved_units, str(cause))
         except Exception:  # a missing count must not cost the request its response
             self._record_fault()
 
--- a/badgeryoke/testbed/cluster_simulation/gateway.py
+++ b/badgeryoke/testbed/cluster_simulation/gateway.py
@@ -359,7 +359,7 @@
         machine, side = self.world.machines[name], self.sides[name]
         now = machine.clock.now(true)
         customer = draw.choice(deal.customers)
-        reserved = side.floor.take(now, customer, units)
+        reserved = side.floor.draw(now, customer, units)
         if reserved is not None:
             self._served(token)
         else:
--- a/tests/cluster/reservations/test_guaranteed_rate.py
+++ b/tests/cluster/reservations/test_guaranteed_rate.py
@@ -127,12 +127,12 @@
     simulation = LeaseSimulation(7, length_ms=20_000.0)
     client = simulation.clients[1]
     simulation.run(5000.0)
-    assert client.take(simulation.now(1), 3, 1.0) is None  # not a customer of the tenant
-    assert client.take(simulation.now(1), 2, 2.0) is None and client.wait(simulation.now(1), 2, 2.0, "it")
+    assert client.draw(simulation.now(1), 3, 1.0) is None  # not a customer of the tenant
+    assert client.draw(simulation.now(1), 2, 2.0) is None and client.wait(simulation.now(1), 2, 2.0, "it")
     simulation.run(5100.0)
     ((token, reserved),) = client.finished_waits(simulation.now(1))
     assert token == "it" and reserved is not None
-    client.failed(simulation.now(1), reserved, "load")
+    client.record_unserved(simulation.now(1), reserved, "load")
     simulation.run(9000.0)
     assert simulation.registry.contracts[CONTRACT].shortfalls == {"load": {"g1/1#p": 2.0}}
     assert simulation.registry.apply(simulation.time_ms, AdvanceContracts(id="p")).error is None
--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -1168,7 +1168,7 @@
     for floor in floors:
         for _ in range(draw.choice((0, 0, 1, 3))):
             customer, units = draw.randint(0, 8), draw.choice((1.0, 1.0, 2.5))
-            got = floor.take(now, customer, units)
+            got = floor.draw(now, customer, units)
             digest.add(got)
             if got is not None:
                 held.append((floor, got))
@@ -1178,7 +1178,7 @@
         digest.add((floor.idle_rate(now), floor.held_rate(now), floor.due))
     if held and draw.random() < 0.1:
         floor, got = held.pop(draw.randrange(len(held)))
-        floor.failed(now, got, draw.choice(("overload", "timeout")))
+        floor.record_unserved(now, got, draw.choice(("overload", "timeout")))
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -1643,7 +1643,7 @@
         """A request each 10 ms, which waits for its turn; gives how many were drawn."""
         drawn, now = 0, begin
         while now < end:
-            if self.floor.take(now, 1, 0.5) is not None:
+            if self.floor.draw(now, 1, 0.5) is not None:
                 drawn += 1
             else:
                 self.floor.wait(now, 1, 0.5, None)
@@ -1663,7 +1663,7 @@
     assert made.ask(SPAN[0], SPAN[0] + 1000.0) > 80
     late = SPAN[1] - 500.0
     assert made.ask(late, SPAN[1]) > 40 and made.floor.held_rate(SPAN[1] - 1.0) > 30.0
-    assert made.floor.held_rate(SPAN[1]) == 0.0 and made.floor.take(SPAN[1], 1, 0.5) is None
+    assert made.floor.held_rate(SPAN[1]) == 0.0 and made.floor.draw(SPAN[1], 1, 0.5) is None
 
 
 def test_before_a_window_a_bucket_does_not_fill() -> None:
@@ -1704,7 +1704,7 @@
         if isinstance(one, RequestLease)
     )
     made.floor.answered(begin + 720.0, last, ApplyResult(error=LeaseExpired("a/1", "it is over")))
-    assert made.floor.held_rate(begin + 720.0) == 0.0 and made.floor.take(begin + 720.0, 1, 0.5) is None
+    assert made.floor.held_rate(begin + 720.0) == 0.0 and made.floor.draw(begin + 720.0, 1, 0.5) is None
 
 
 def test_a_request_that_has_no_turn_in_time_is_an_ordinary_one() -> None:
@@ -1713,16 +1713,16 @@
         made.turn(begin + 10.0 * at)
     stake = made.floor.leases["c"]
     stake.share = stake.level = 0.0
-    assert made.floor.take(begin + 40.0, 1, 0.5) is None and made.floor.wait(begin + 40.0, 1, 0.5, "token")
+    assert made.floor.draw(begin + 40.0, 1, 0.5) is None and made.floor.wait(begin + 40.0, 1, 0.5, "token")
     assert made.floor.finished_waits(begin + 41.0 + MAX_WAIT_MS) == [("token", None)]
 
 
 def test_units_short_are_told_once() -> None:
     made, begin = Gate(), SPAN[0] + 1000.0
     assert made.ask(begin, begin + 200.0) > 5
-    reserved = made.floor.take(begin + 300.0, 1, 0.5)
+    reserved = made.floor.draw(begin + 300.0, 1, 0.5)
     assert reserved is not None
-    made.floor.failed(begin + 300.0, reserved, "load")
+    made.floor.record_unserved(begin + 300.0, reserved, "load")
     told = [
         one
         for at in range(400)
--- a/tests/decisions/test_priority_admission.py
+++ b/tests/decisions/test_priority_admission.py
@@ -259,7 +259,7 @@
         self.short: list[tuple[str, float]] = []
         self.broken, self.leases = False, {"peak": None}
 
-    def take(self, now: float, customer: int, units: float) -> ReservedUnits | None:
+    def draw(self, now: float, customer: int, units: float) -> ReservedUnits | None:
         if self.broken:
             raise ValueError("planted")
         if customer != 5 or self.room < units:
@@ -276,9 +276,9 @@
         if not self.due:
             return []
         held, self.waiting = self.waiting, []
-        return [(token, self.take(now, 5, units)) for token, units in held]
+        return [(token, self.draw(now, 5, units)) for token, units in held]
 
-    def failed(self, now: float, one: ReservedUnits, cause: str) -> None:
+    def record_unserved(self, now: float, one: ReservedUnits, cause: str) -> None:
         self.short.append((cause, one.units))
 
 
--- a/tests/support/lease_simulation.py
+++ b/tests/support/lease_simulation.py
@@ -187,7 +187,7 @@
         """One request of the tenant at a gateway; whether it was served at once."""
         if self.time_ms < self.frozen_until_ms[gateway]:
             return False
-        reserved = self.clients[gateway].take(self.now(gateway), 1, units)
+        reserved = self.clients[gateway].draw(self.now(gateway), 1, units)
         if reserved is not None:
             self.check_served(units)
         return reserved is not None
