--- a/badgeryoke/cluster/reservations/admission.py
+++ b/badgeryoke/cluster/reservations/admission.py
@@ -263,7 +263,7 @@
         for name in settled[: max(len(settled) - MAX_SETTLED_CONTRACTS, 0)]:
             del self.contracts[name]
 
-    # Work of the leader
+    # Leader tasks
     # ------------------------------------------------------------------------------------
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
--- a/badgeryoke/cluster/reservations/contract.py
+++ b/badgeryoke/cluster/reservations/contract.py
@@ -183,7 +183,8 @@
         if self.cancelled:
             return ContractEvent.SETTLE if self.confirmed_version == self.newest.number else None
         if current is not None:
-            # The next window opens only after the last lease of the previous one has expired.
+            # The next window opens once the last lease of the previous one has expired, but no later than its
+            # own leases are due to be granted.
             expired_ms = last_end_ms + lease_tail_ms if last_end_ms is not None else at_ms
             reopens = at_ms >= min(expired_ms, current.start_ms - GRANT_AHEAD_MS)
             return ContractEvent.NEXT_WINDOW if reopens else None
--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -197,7 +197,7 @@
             tally.settle(until, contract.rate, contract.pool.depth)
         return ApplyResult(contract.version)
 
-    # Work of the leader
+    # Leader tasks
     # ------------------------------------------------------------------------------------
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
