--- a/badgeryoke/testbed/cluster_simulation/gateway.py
+++ b/badgeryoke/testbed/cluster_simulation/gateway.py
@@ -416,7 +416,7 @@
                 if now >= stake.expires_ms:
                     continue
                 wall = machine.clock.wall(now)
-                held += stake.share * (stake.later_fraction if wall >= stake.until_ms else 1.0)
+                held += stake.share * (stake.later_fraction if wall >= stake.share_change_ms else 1.0)
                 if machine.up and stake.demand.has_stopped(now):
                     lent += stake.share
             over = held - deal.text.rate
--- a/badgeryoke/testbed/dispatcher_cost.py
+++ b/badgeryoke/testbed/dispatcher_cost.py
@@ -108,7 +108,7 @@
         floor.answered(0.0, PollContracts(id="contracts"), answer)
         one: ContractLease = floor.leases["peak"]
         one.share = one.depth = one.level = one.fair_share = one.wanted_rate = 1e9
-        one.expires_ms = one.until_ms = math.inf
+        one.expires_ms = one.share_change_ms = math.inf
 
     def add(self, *_: object) -> None:
         """Fail: the measured dispatcher has no quota counter."""
