--- a/tests/decisions/test_priority_admission.py
+++ b/tests/decisions/test_priority_admission.py
@@ -309,7 +309,7 @@
         self.shortfalls: list[tuple[str, float]] = []
         self.is_failing, self.leases = False, {"peak": None}
 
-    def take(self, now: float, customer: int, units: float) -> ReservedUnits | None:
+    def draw(self, now: float, customer: int, units: float) -> ReservedUnits | None:
         if self.is_failing:
             raise ValueError("injected failure")
         if customer != 5 or self.available_units < units:
@@ -326,9 +326,9 @@
         if not self.waits_finish:
             return []
         finished, self.waiting = self.waiting, []
-        return [(token, self.take(now, 5, units)) for token, units in finished]
+        return [(token, self.draw(now, 5, units)) for token, units in finished]
 
-    def failed(self, now: float, reserved: ReservedUnits, cause: str) -> None:
+    def record_unserved(self, now: float, reserved: ReservedUnits, cause: str) -> None:
         self.shortfalls.append((cause, reserved.units))
 
 
