--- a/badgeryoke/cluster/rolling_restart/assignment.py
+++ b/badgeryoke/cluster/rolling_restart/assignment.py
@@ -1,4 +1,4 @@
-"""The answer to a gateway that reads its desired state: its phase, and how soon to read again."""
+"""The answer to a gateway that reads its desired state: its phase, and its poll interval."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 )
 
 IN_PROGRESS_POLL_INTERVAL_MS = 50.0
-IDLE_POLL_INTERVAL_MS = 500.0  # while there is no restart; the first wave waits for it
+IDLE_POLL_INTERVAL_MS = 500.0  # without an active restart; delays the first wave by up to this time
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayAssignment:
-    """What one gateway is told of the active rolling restart; `restart` is empty where it is in none."""
+    """One gateway's part in the active rolling restart; `restart` is empty if the gateway has no part in one."""
 
     poll_interval_ms: float
-    need_multiple: float  # see RollingRestart.need_multiple; 1 for a gateway that is unavailable itself
+    need_multiple: float  # see RollingRestart.need_multiple; 1 for an unavailable gateway
     restart: str = ""
     phase: GatewayPhase | None = None
     version: int = 0
@@ -30,7 +30,7 @@
     process: str = ""
 
     def to_answer(self) -> dict[str, Any]:
-        """As plain data, by the keys of the interface."""
+        """The assignment as plain data, under its wire keys."""
         if self.phase is None:
             return {"roll": "", "read_ms": self.poll_interval_ms, "grow": self.need_multiple}
         return {
@@ -45,7 +45,7 @@
 
     @classmethod
     def from_answer(cls, answer: dict[str, Any]) -> GatewayAssignment:
-        """The reverse.  A report that this build does not know counts as none."""
+        """Decode `to_answer`.  A report that this build does not know is read as no report."""
         if not answer["roll"]:
             return cls(answer["read_ms"], answer.get("grow", 1.0))
         known_report = answer["told"] in list(GatewayReport)
@@ -61,7 +61,7 @@
 
 
 def assignment_of(restart: RollingRestart | None, name: str) -> GatewayAssignment:
-    """The assignment of one gateway in the active restart, if there is one."""
+    """The assignment of one gateway; `restart` is the active restart, if there is one."""
     if restart is None:
         return GatewayAssignment(IDLE_POLL_INTERVAL_MS, 1.0)
     gateway = restart.gateways.get(name)
--- a/badgeryoke/cluster/rolling_restart/commands.py
+++ b/badgeryoke/cluster/rolling_restart/commands.py
@@ -1,7 +1,7 @@
-"""Commands of rolling restarts, as they are called by operators and gateways and stored in the log.
+"""Commands of rolling restarts, as operators and gateways call them and the log stores them.
 
-A command is stored under its tag and its fields' wire names (`name=`): neither may change.  Error texts name
-fields as callers write them, so by their wire names.
+A command is stored under its tag and its fields' wire names (`name=`): neither may change.  Error texts use the
+wire names, since callers write those.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AfterDrain(StrEnum):
-    """What happens to a gateway that has been drained."""
+    """The step after a gateway is drained."""
 
     RESTART = "restart"  # its process ends, and its supervisor starts the next one
     HOLD = "hold"  # it stays drained until an operator resumes it
@@ -36,10 +36,10 @@
 
 
 class StartRollingRestart(Command, frozen=True, tag="RollAsk"):
-    """Restart gateways in waves: those named, those of a zone, or all.
+    """Restart gateways in waves: those listed, those of a zone, or all.
 
     `deadline_ms` bounds each phase of a gateway: beyond it the restart pauses and waits for an operator.
-    `after_drain` is a value of `AfterDrain`.  `may_empty_zone`: the only gateway of a zone may be drained.
+    `after_drain` is a value of `AfterDrain`.  `may_empty_zone` allows the only gateway of a zone to be drained.
     """
 
     restart: str = msgspec.field(name="roll")
@@ -70,7 +70,7 @@
 
 
 class CancelRollingRestart(Command, frozen=True, tag="RollCancel"):
-    """Cancel a rolling restart: drained gateways resume, ended ones come back, and no other is drained."""
+    """Cancel a rolling restart: drained gateways resume, stopped ones return, and no further one is drained."""
 
     restart: str = msgspec.field(name="roll")
 
@@ -78,7 +78,7 @@
 class ResumeGateway(Command, frozen=True, tag="RollResume"):
     """Resume held gateways, all or one by name.
 
-    `force`: go on with gateways that do not become empty; what is open there is lost.
+    `force` also treats draining gateways as empty; their open requests and connections are lost.
     """
 
     restart: str = msgspec.field(name="roll")
@@ -89,8 +89,8 @@
 class RecordRestartEvent(Command, frozen=True, tag="RollTurn"):
     """The leader records an event of the restart as a whole.
 
-    `restart_version` makes it compare-and-set: it is refused where the restart has changed since the leader
-    looked.  `event` is the name of a `RestartEvent`; `order` and `member_count` come with PLANNED.
+    `restart_version` makes it compare-and-set: it is rejected if the restart has changed since the leader read
+    it.  `event` is the name of a `RestartEvent`; `order` and `member_count` belong to PLANNED.
     """
 
     restart: str = msgspec.field(name="roll")
@@ -102,7 +102,7 @@
 
 
 class StartWave(Command, frozen=True, tag="RollWave"):
-    """The leader begins a wave, under the conditions that it has observed."""
+    """The leader begins a wave under the conditions that it observed."""
 
     restart: str = msgspec.field(name="roll")
     restart_version: int = msgspec.field(name="stamp")
@@ -113,7 +113,7 @@
 class RecordGatewayEvent(Command, frozen=True, tag="RollStep"):
     """The leader records an event of one gateway; `event` is the name of a `GatewayEvent`.
 
-    `restart_version` is that under which `conditions` were observed, where there are any.
+    `restart_version` is the version under which `conditions` were observed, where an event needs them.
     """
 
     restart: str = msgspec.field(name="roll")
@@ -125,7 +125,8 @@
 
 
 class ReportGateway(Command, frozen=True, tag="RollReport"):
-    """A gateway reports its progress; `report` is a value of `GatewayReport`.  Answered as ReadDesiredState."""
+    """A gateway reports its progress; `report` is a value of `GatewayReport`.  The answer is that of
+    `ReadDesiredState`."""
 
     restart: str = msgspec.field(name="roll")
     gateway: str
@@ -150,7 +151,7 @@
 
 
 class ReadRollingRestarts(Command, frozen=True, tag="RollsRead"):
-    """Read every restart that is kept, for operators: its state, why, and each gateway's phase."""
+    """Read all stored restarts, for operators: the state, its cause, and each gateway's phase."""
 
     reads: ClassVar[bool] = True
 
--- a/badgeryoke/cluster/rolling_restart/conditions.py
+++ b/badgeryoke/cluster/rolling_restart/conditions.py
@@ -1,7 +1,7 @@
-"""What must hold in the cluster before gateways may be drained, and how the leader observes it.
+"""The conditions that must hold in the cluster before gateways may be drained.
 
-The leader sends its observation along with the command it proposes, and the state machine judges it again
-where the command is applied: a leader whose own check is wrong is caught as a broken invariant.
+The leader sends its observation along with the command it proposes, and the state machine checks it again when
+the command is applied: a faulty check in the leader shows up as a broken invariant.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class ClusterConditions(msgspec.Struct, frozen=True, array_like=True):
-    """The state of the cluster without the gateways of a wave, on which a leader decided that they may go."""
+    """The state of the cluster without the gateways of a wave, as the leader observed it."""
 
-    missing_copies: int  # dead or behind, except those of gateways whose process a wave has ended
-    spare_voters: int  # beyond the majority, in the group that has fewest; 1 at most
+    missing_copies: int  # dead or lagging replicas, except those of gateways that the restart stopped
+    spare_voters: int  # voters beyond the majority, in the group with the fewest; at most 1
     emptied_zones: int  # zones that would be left without a gateway
-    remaining_units_per_s: float  # capacity of the remaining gateways; negative: not known, and not judged
+    remaining_units_per_s: float  # capacity of the remaining gateways; negative: unknown, not checked
     required_units_per_s: float
 
     def validate(self) -> tuple[Rule, str] | None:
-        """The first condition that does not hold, and an explanation; none where all hold.
+        """The first condition that does not hold, with an explanation; None if all hold.
 
-        The explanation up to its colon names the kind of obstacle, and both are told to operators."""
+        The explanation up to its colon names the kind of obstacle; operators see both."""
         if self.missing_copies:
             return Rule.COPIES_WHOLE, f"copies not whole: {self.missing_copies} missing"
         if self.spare_voters < 0:
--- a/badgeryoke/cluster/rolling_restart/gateway_agent.py
+++ b/badgeryoke/cluster/rolling_restart/gateway_agent.py
@@ -1,8 +1,8 @@
 """The gateway's side of a rolling restart: it reads its assignment, acts on it, and reports its progress.
 
-The agent compares the desired state (its assignment) with the observed state of its gateway, instead of
-following single orders: a gateway that is not to be drained now serves.  So none stays half drained, whatever
-message was lost.
+The agent compares the desired state (its assignment) with the observed state of its gateway instead of executing
+single orders: a gateway whose phase does not require a drain serves.  So a lost message leaves no gateway half
+drained.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 )
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 
-# By an older assignment no gateway drains or ends: its process was frozen, or cut off from the cluster.
+# A gateway neither drains nor stops on an older assignment: its process was frozen, or cut off from the cluster.
 MAX_ASSIGNMENT_AGE_MS = 1000.0
 
-# what a gateway reports once it has done what its phase asks for
+# the report that a gateway sends once it has done what its phase requires
 _REPORT_OF_PHASE: dict[GatewayPhase, GatewayReport] = {
     GatewayPhase.GRANTING: GatewayReport.READY,
     GatewayPhase.PAUSING: GatewayReport.PAUSED,
@@ -38,7 +38,7 @@
 
 
 class DesiredState(Enum):
-    """What a gateway has to do to reach its desired state."""
+    """An action that brings a gateway to its desired state."""
 
     PAUSE = "drain: reject new clients"
     RESUME = "serve again"
@@ -49,43 +49,44 @@
 class RollingRestartAgent:
     """The agent of one gateway process.
 
-    The caller states how the gateway is (`observe`), carries out `next_actions`, sends what `poll` returns
-    and gives the outcome to `answered`; it obeys `must_not_lead` and `need_multiple`.
+    The caller reports the state of the gateway (`observe`), carries out `next_actions`, sends what `poll` returns
+    and passes the outcome to `answered`; it applies `must_not_lead` and `need_multiple`.
     """
 
     gateway: str  # the member's name
-    process: MemberId  # holder id of this process; a later start of the gateway has another
+    process: MemberId  # holder id of this process; each start of the gateway has its own
     member_count: int = 1  # members of the cluster
-    on_phase_change: Callable[[], None] | None = None  # so that the caller looks at once
-    paused: bool = False  # drained by a rolling restart; a drain by an operator is left alone
+    on_phase_change: Callable[[], None] | None = None  # so that the caller acts immediately
+    paused: bool = False  # drained by a rolling restart, not by an operator
     leaving: bool = False
-    assignment: GatewayAssignment | None = None  # none: not read yet, or the restart is not known any more
+    assignment: GatewayAssignment | None = None  # None: not read yet, or the restart no longer exists
     _observed: dict[GatewayReport, bool] = field(default_factory=dict)
     _pending: ReportGateway | ReadDesiredState | None = None
     _in_flight: bool = False
     _sent_at_ms: float = 0.0
-    _assigned_at_ms: float = -MAX_ASSIGNMENT_AGE_MS  # when the read was sent that `assignment` answers
+    _assigned_at_ms: float = -MAX_ASSIGNMENT_AGE_MS  # when the call that `assignment` answers was sent
     _next_poll_ms: float = 0.0
     _call_count: int = 0
 
     @property
     def restart(self) -> str | None:
-        """Name of the restart that this gateway is in; empty for none, none where it was not read yet."""
+        """Name of the restart that includes this gateway; empty if none does, None before the first read."""
         return None if self.assignment is None else self.assignment.restart
 
     @property
     def phase(self) -> GatewayPhase | None:
-        """Phase of this gateway in a rolling restart; none where it is in none."""
+        """Phase of this gateway in a rolling restart; None outside of one."""
         return None if self.assignment is None else self.assignment.phase
 
     @property
     def concerns_this_process(self) -> bool:
-        """Whether the phase is this process's: a drain that began with an earlier process is not."""
+        """Whether the phase applies to this process: a drain that began with an earlier process does not."""
         return self.assignment is None or self.assignment.process in ("", self.process)
 
     @property
     def must_not_lead(self) -> bool:
-        """Hand over all leadership, again where elected; connection leases shrink to the present need."""
+        """Whether to hand over all leadership, also after an election, and to shrink connection leases to the present
+        need."""
         return self.concerns_this_process and self.phase in DRAINED_PHASES | {GatewayPhase.GRANTING}
 
     @property
@@ -96,9 +97,9 @@
     def observe(
         self, *, groups_led: int, trimmed: bool, drained: bool, empty: bool, copies_complete: bool
     ) -> None:
-        """State how this gateway is.  `trimmed`: its connections are down to its need; `drained`: clients are
-        rejected and the load balancer knows; `empty`: nothing is open and no lease held; `copies_complete`:
-        its copies have caught up."""
+        """Report the state of this gateway.  `trimmed`: it holds no more connections than it needs; `drained`: clients
+        are rejected and the load balancer is notified; `empty`: nothing is open and no lease is held;
+        `copies_complete`: its replicas have caught up."""
         self._observed = {
             GatewayReport.READY: not groups_led and trimmed,
             GatewayReport.PAUSED: drained,
@@ -109,7 +110,7 @@
         }
 
     def next_actions(self, now: float) -> list[DesiredState]:
-        """What has to be done now; each is returned once."""
+        """The actions to carry out now; each is returned once."""
         drained = self.concerns_this_process and self.phase in DRAINED_PHASES
         actions: list[DesiredState] = []
         if drained and now - self._assigned_at_ms > MAX_ASSIGNMENT_AGE_MS:
@@ -123,7 +124,7 @@
         return actions
 
     def _due_report(self) -> GatewayReport | None:
-        """What there is to report now."""
+        """The report to send now, if any."""
         assignment, phase = self.assignment, self.phase
         if assignment is None or phase is None or self.leaving:
             return None
@@ -136,7 +137,7 @@
 
     @property
     def due(self) -> float:
-        """When it has something to send, by the clock of `now`; a report is due at once."""
+        """When `poll` next has something to send, by the clock of `now`; a report is due immediately."""
         if self._in_flight:
             return math.inf
         return -math.inf if self._pending is None and self._due_report() else self._next_poll_ms
@@ -168,7 +169,7 @@
         )
 
     def answered(self, now: float, command: Command, result: ApplyResult | ClusterError) -> None:
-        """Take in what became of a command of `poll`."""
+        """Handle the outcome of a command from `poll`."""
         if self._pending is None or command.id != self._pending.id:
             return
         self._in_flight = False
@@ -179,7 +180,7 @@
         if isinstance(self._pending, ReadDesiredState) or isinstance(
             error, InvalidCall | NotFound | DuplicateId | WrongState
         ):
-            # A read may as well be a new one; a report that was refused is not sent again as it was.
+            # A read needs no retry under its old id; a rejected report is not sent again unchanged.
             self._pending = None
             if isinstance(error, NotFound):
                 self.assignment = None
@@ -190,6 +191,6 @@
         self._pending, self._assigned_at_ms = None, self._sent_at_ms
         if self.on_phase_change is not None and phase_before is not self.phase:
             self.on_phase_change()
-        # Without a restart, gateways of a large cluster read more slowly than the answer says.
-        slowest = 0.0 if assignment.restart else POLL_INTERVAL_PER_MEMBER_MS * self.member_count
-        self._next_poll_ms = now + max(assignment.poll_interval_ms, slowest)
+        # Without a restart, gateways of a large cluster poll less often than the answer states.
+        min_interval_ms = 0.0 if assignment.restart else POLL_INTERVAL_PER_MEMBER_MS * self.member_count
+        self._next_poll_ms = now + max(assignment.poll_interval_ms, min_interval_ms)
--- a/badgeryoke/cluster/rolling_restart/minimum_duration.py
+++ b/badgeryoke/cluster/rolling_restart/minimum_duration.py
@@ -1,6 +1,6 @@
-"""A lower bound on the duration of a rolling restart, against which measured ones are judged.
+"""A lower bound on the duration of a rolling restart, to compare measured durations with.
 
-It is found without the scheduler's own choices, from the number of waves that each limit alone enforces.
+It is independent of the scheduler's choices: the number of waves that each limit alone requires.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 ) -> float:
     """The least time in which the gateways can be restarted, in ms.
 
-    `groups`: names of each group's voters; `zones`: zone of each member; `required_fraction`: of the members
-    that must remain for the load; `wave_ms`: time that one wave takes without any scheduling (drain, end,
-    start, warm-up).
+    `groups`: names of each group's voters; `zones`: zone of each member; `required_fraction`: fraction
+    of the members that must remain for the load; `wave_ms`: time that one wave takes without any scheduling
+    (drain, stop, start, warm-up).
     """
     names = sorted(set(gateways))
     waves = max(
@@ -33,16 +33,16 @@
 
 
 def _waves_by_load(names: list[str], members: int, at_once: int, required_fraction: float) -> int:
-    rounding = 1e-9  # 5 members of which 0.6 must remain spare 2, not 1.9999
+    rounding = 1e-9  # so that 5 * (1 - 0.6) gives 2 spare members, not 1.9999
     per_wave = max(min(at_once, int(members * (1.0 - required_fraction) + rounding)), 1)
     return -(-len(names) // per_wave)
 
 
 def _waves_by_zones(names: list[str], zones: dict[str, str]) -> int:
-    """The last gateway of a zone stays."""
+    """Waves needed where each zone keeps a gateway."""
     waves = 0
     for zone in sorted(set(zones.values())):
-        members = sum(found == zone for found in zones.values())
+        members = sum(member_zone == zone for member_zone in zones.values())
         restarted = sum(zones.get(name) == zone for name in names)
         waves = max(waves, -(-restarted // max(members - 1, 1)))
     return waves
@@ -53,7 +53,7 @@
 
 
 def _waves_by_groups(names: list[str], groups: dict[str, tuple[str, ...]]) -> int:
-    """A group keeps its majority."""
+    """Waves needed where each group keeps its majority."""
     waves = 0
     for voters in groups.values():
         restarted = [name for name in voters if name in names]
@@ -62,7 +62,7 @@
 
 
 def _conflicts(names: list[str], groups: dict[str, tuple[str, ...]]) -> dict[str, set[str]]:
-    """For each gateway those that cannot go with it, since they share a group that spares only one."""
+    """For each gateway, those that cannot be in its wave: they share a group that can spare only one voter."""
     conflicts: dict[str, set[str]] = {name: set() for name in names}
     for voters in groups.values():
         if _spare_voters(voters) > 1:
@@ -74,7 +74,7 @@
 
 
 def _waves_by_conflicts(conflicts: dict[str, set[str]]) -> int:
-    """Size of the largest clique that is found by growing one greedily from each gateway."""
+    """Size of the largest clique found by extending one greedily from each gateway."""
     largest = 0
     for first in conflicts:
         clique = [first]
--- a/badgeryoke/cluster/rolling_restart/observation.py
+++ b/badgeryoke/cluster/rolling_restart/observation.py
@@ -1,4 +1,4 @@
-"""The leader's observation of the cluster: what would remain without the gateways of a wave."""
+"""How the leader observes the cluster: what would remain without the gateways of a wave."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 ) -> ClusterConditions:
     """What would remain without the wave and the gateways that are unavailable already.
 
-    `ending`: the gateway whose process would end now.  Majorities are then judged without that one and those
-    that have ended, for the others' copies are there until they end as well.
+    `ending`: the gateway whose process would end now.  Majorities are then counted without that one and those that
+    have ended; the other unavailable gateways still have their copies.
     """
     unavailable = restart.gateways_in(*UNAVAILABLE_PHASES) | set(wave)
-    # A gateway that is drained but has not ended still has its copies, or has lost them by a fault.
+    # A drained gateway whose process has not ended still has its copies, unless a fault destroyed them.
     ended = restart.gateways_in(GatewayPhase.ACTING, GatewayPhase.RETURNING)
     without_copies = ended | restart.gateways_in(GatewayPhase.HELD) | {ending} if ending else unavailable
     return ClusterConditions(
@@ -37,8 +37,8 @@
 
 
 def _missing_copies(view: LeaderView, ended: set[str]) -> int:
-    """Copies that are dead or behind.  A member that came back with an empty store has another id, and its
-    copies are missing although a member of its name is alive."""
+    """Number of dead or lagging replicas.  A member that came back with an empty store has a new id: its old
+    replicas are missing although a member of the same name is alive."""
     dead = sum(
         member_name(voter) not in ended and voter not in view.alive
         for voters in view.groups.values()
@@ -66,7 +66,7 @@
 
 
 def _remaining_units_per_s(view: LeaderView, unavailable: set[str]) -> float:
-    """Capacity of the remaining gateways, each taken as equal; negative where it is not known."""
+    """Capacity of the remaining gateways, assuming equal shares; negative if unknown."""
     if "capacity" not in view.load:
         return -1.0
     alive = _alive_names(view)
--- a/badgeryoke/cluster/rolling_restart/plan.py
+++ b/badgeryoke/cluster/rolling_restart/plan.py
@@ -1,4 +1,4 @@
-"""One rolling restart and the progress of its gateways, as replicated."""
+"""Replicated state of one rolling restart and of its gateways."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     RestartState,
 )
 
-# A gateway that is not in progress reads its assignment every MIN_POLL_INTERVAL_MS, or more slowly in a
-# large cluster, so that the leader's load does not grow with the number of gateways.
+# A gateway that is not in progress reads its assignment every MIN_POLL_INTERVAL_MS, or less often in a large
+# cluster, so that the leader's load does not grow with the number of gateways.
 MIN_POLL_INTERVAL_MS = 100.0
 POLL_INTERVAL_PER_MEMBER_MS = 10.0
 
@@ -34,14 +34,14 @@
     """Progress of one gateway in a rolling restart."""
 
     phase: GatewayPhase = GatewayPhase.WAITING
-    version: int = 0  # transitions so far; a report or a leader's event names the version it is meant for
+    version: int = 0  # number of transitions; reports and the leader's events state the version they refer to
     since_ms: float = 0.0  # group's time, Unix ms, of the last transition
     report: GatewayReport | None = None  # received in this phase
-    process: str = ""  # holder name of the process that runs when the wave begins
+    process: str = ""  # holder id of the process that ran when the wave began
     drain_count: int = 0
 
     def dump(self, name: str) -> list[Any]:
-        """As plain data, for a snapshot; the order is the stored format."""
+        """The progress as plain data, for a snapshot; the order is the stored format."""
         return [
             name,
             self.phase.name,
@@ -54,7 +54,7 @@
 
     @classmethod
     def load(cls, raw: list[Any]) -> tuple[str, GatewayProgress]:
-        """The reverse: the gateway's name and its progress."""
+        """Decode `dump`: the gateway's name and its progress."""
         name, phase, version, since_ms, report, process, drain_count = raw
         return name, cls(
             GatewayPhase[phase],
@@ -68,14 +68,14 @@
 
 @dataclass(slots=True)
 class RollingRestart:
-    """One rolling restart."""
+    """One rolling restart: the request, its state, and the progress of each gateway."""
 
     name: str
     request: StartRollingRestart
     state: RestartState = RestartState.ASKED
     since_ms: float = 0.0  # group's time, Unix ms, of the last change of state
-    cause: str = ""  # of the state, for operators
-    version: int = 0  # changes of it and its gateways; a leader's command names the version it is based on
+    cause: str = ""  # of the present state, for operators
+    version: int = 0  # counts changes, also of the gateways; a leader's command states the one it is based on
     member_count: int = 1  # members of the cluster when it was planned
     gateways: dict[str, GatewayProgress] = field(default_factory=dict)  # in the order of the plan
 
@@ -88,16 +88,16 @@
         return {name for name, gateway in self.gateways.items() if gateway.phase in phases}
 
     def need_multiple(self) -> float:
-        """How many times its usual need each available gateway has to carry."""
+        """Factor on the usual connection need of each available gateway while others are unavailable."""
         unavailable = sum(gateway.phase in UNAVAILABLE_PHASES for gateway in self.gateways.values())
         return self.member_count / max(self.member_count - unavailable, 1)
 
     def poll_interval_ms(self) -> float:
-        """Between two reads of the assignment by a gateway that is not in progress."""
+        """Interval between two reads of the assignment by a gateway that is not in progress."""
         return max(MIN_POLL_INTERVAL_MS, POLL_INTERVAL_PER_MEMBER_MS * self.member_count)
 
     def transition(self, at_ms: float, event: RestartEvent, cause: str = "") -> bool:
-        """Move the restart to its next state; false where the event does not belong to its state."""
+        """Move the restart to its next state; False if its state has no transition for the event."""
         state = RESTART_TRANSITIONS.get((self.state, event))
         if state is None:
             return False
@@ -106,8 +106,8 @@
         return True
 
     def advance(self, at_ms: float, name: str, event: GatewayEvent, invariants: Invariants) -> bool:
-        """Move one gateway to its next phase, and finish the restart where it was the last; false where the
-        event does not belong to its phase."""
+        """Move one gateway to its next phase, and finish the restart if it was the last; False if its phase has no
+        transition for the event."""
         gateway = self.gateways[name]
         phase = GATEWAY_TRANSITIONS.get((gateway.phase, event))
         if phase is None:
@@ -129,7 +129,7 @@
         return True
 
     def summary(self) -> dict[str, Any]:
-        """For operators, by the keys of the interface."""
+        """The state for operators, under its wire keys."""
         return {
             "roll": self.name,
             "state": self.state.value,
@@ -141,7 +141,7 @@
         }
 
     def dump(self) -> list[Any]:
-        """As plain data, for a snapshot; the order is the stored format."""
+        """The restart as plain data, for a snapshot; the order is the stored format."""
         return [
             msgspec.to_builtins(self.request),
             self.state.name,
@@ -154,7 +154,7 @@
 
     @classmethod
     def load(cls, raw: list[Any]) -> RollingRestart:
-        """The reverse."""
+        """Decode `dump`."""
         raw_request, state, since_ms, cause, version, member_count, gateways = raw
         request = msgspec.convert(raw_request, StartRollingRestart)
         return cls(
--- a/badgeryoke/cluster/rolling_restart/scheduler.py
+++ b/badgeryoke/cluster/rolling_restart/scheduler.py
@@ -1,7 +1,7 @@
-"""What the leader proposes for the active rolling restart: its next event, or why there is none.
+"""Proposals of the leader for the active rolling restart: the next event, or a pause with its cause.
 
-The leader changes nothing itself.  Each proposal names the version of the restart on which it is based, so
-that one from a leader that was replaced, or that comes late or twice, is refused.
+The leader changes nothing itself.  Each proposal states the version of the restart on which it is based, so that
+one from a replaced leader, or one that arrives late or twice, is rejected.
 """
 
 from __future__ import annotations
@@ -30,66 +30,74 @@
 )
 from badgeryoke.cluster.state_machine_part import Command, LeaderView
 
-PAUSE_AFTER_BLOCKED_MS = 1500.0  # for which conditions may fail to hold before the restart is paused
-# beyond the others' poll interval: they take over capacity before the wave's gateways reject clients
+PAUSE_AFTER_BLOCKED_MS = 1500.0  # how long an obstacle lasts before the restart is paused
+# On top of the poll interval, the time in which the other gateways open the connections that they need to take over
+# the wave's traffic.
 GROWTH_MARGIN_MS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
 class Obstacle:
-    """What keeps a restart from going on; `kind` is the cause up to its colon."""
+    """A condition that blocks a restart; `kind` is the cause up to its colon."""
 
     restart: str
     kind: str
     since_ms: float  # the leader's monotonic clock
 
 
-def _kind(cause: str) -> str:
+def _obstacle_kind(cause: str) -> str:
     return cause.partition(":")[0]
 
 
 class RestartScheduler:
-    """The leader's part of rolling restarts.  Its own state is only how long an obstacle has lasted."""
+    """The leader's part of rolling restarts.  Its only state is the present obstacle and when it appeared."""
 
     def __init__(self) -> None:
         self._obstacle: Obstacle | None = None
 
     def proposals(self, view: LeaderView, restart: RollingRestart) -> list[Command]:
-        """The events to record now; the active restart is in one of its states that have not ended."""
+        """The events to record now for the active restart."""
         match restart.state:
             case RestartState.ASKED:
                 return [_restart_event(restart, RestartEvent.SEEN)]
             case RestartState.PLANNING:
                 return [_plan(view, restart)]
             case RestartState.CANCELLING:
-                return _warmed_up(view, restart) + _lost(view, restart)
-        proposals = _warmed_up(view, restart)
+                return _warmed_up_gateways(view, restart) + _lost_gateways(view, restart)
+        proposals = _warmed_up_gateways(view, restart)
         if failure := _failure(view, restart):
-            return proposals + self._pause_or_go_on(view, restart, failure, [], at_once=True)
-        obstacle, further = _next_event(view, restart)
-        return proposals + self._pause_or_go_on(view, restart, obstacle, further, at_once=False)
-
-    def _pause_or_go_on(
-        self, view: LeaderView, restart: RollingRestart, cause: str, further: list[Command], *, at_once: bool
+            return proposals + self._pause_or_continue(view, restart, failure, [], immediately=True)
+        obstacle, next_commands = _next_event(view, restart)
+        return proposals + self._pause_or_continue(view, restart, obstacle, next_commands, immediately=False)
+
+    def _pause_or_continue(
+        self,
+        view: LeaderView,
+        restart: RollingRestart,
+        cause: str,
+        next_commands: list[Command],
+        *,
+        immediately: bool,
     ) -> list[Command]:
-        """Pause for `cause`, unpause where there is none, or do what comes next.
+        """Pause the restart for `cause`, unpause it without one, or propose `next_commands`.
 
-        `at_once`: the cause is a failure of a gateway, which will not pass by itself."""
+        `immediately`: the cause is a failed gateway, which does not recover by itself, so that the pause is not
+        delayed."""
         if restart.state is RestartState.PAUSED:
             if not cause:
                 return [_restart_event(restart, RestartEvent.MENDED)]
-            if _kind(cause) == _kind(restart.cause):
+            if _obstacle_kind(cause) == _obstacle_kind(restart.cause):
                 return []
             return [_restart_event(restart, RestartEvent.BLOCKED, cause)]
         if not cause:
             self._obstacle = None
-            return further
+            return next_commands
         obstacle = self._obstacle
-        if obstacle is None or (obstacle.restart, obstacle.kind) != (restart.name, _kind(cause)):
-            obstacle = self._obstacle = Obstacle(restart.name, _kind(cause), view.now)
-        if at_once or view.now - obstacle.since_ms >= PAUSE_AFTER_BLOCKED_MS:
+        if obstacle is None or (obstacle.restart, obstacle.kind) != (restart.name, _obstacle_kind(cause)):
+            obstacle = self._obstacle = Obstacle(restart.name, _obstacle_kind(cause), view.now)
+        if immediately or view.now - obstacle.since_ms >= PAUSE_AFTER_BLOCKED_MS:
             return [_restart_event(restart, RestartEvent.BLOCKED, cause)]
-        return further
+        return next_commands
 
 
 def _restart_event(
@@ -114,7 +122,7 @@
     restart: RollingRestart, name: str, event: GatewayEvent, conditions: ClusterConditions | None = None
 ) -> RecordGatewayEvent:
     gateway_version = restart.gateways[name].version
-    # With the restart's version in the id, an event that was refused may be proposed again after a change.
+    # The id contains the restart's version, so that a rejected event can be proposed again after a change.
     return RecordGatewayEvent(
         id=f"roll/{restart.name}/{restart.version}/{name}/{gateway_version}/{event.name}",
         restart=restart.name,
@@ -127,20 +135,20 @@
 
 
 def _plan(view: LeaderView, restart: RollingRestart) -> RecordRestartEvent:
-    """The order of the gateways: as requested, with this leader last so that leadership moves once."""
+    """Plan the order of the gateways: as requested, with this leader last, so that leadership moves once."""
     request = restart.request
     names = list(request.gateways) or [
         name for name in sorted(view.zones) if request.zone in ("", view.zones[name])
     ]
     unknown = [name for name in names if name not in view.zones]
     if unknown or not names:
-        named = ", ".join(unknown)[:MAX_TEXT_CHARACTERS] or request.zone
-        return _restart_event(restart, RestartEvent.IMPOSSIBLE, f"no such gateway: {named}")
+        missing = ", ".join(unknown)[:MAX_TEXT_CHARACTERS] or request.zone
+        return _restart_event(restart, RestartEvent.IMPOSSIBLE, f"no such gateway: {missing}")
     names.sort(key=lambda name: name == member_name(view.me))
     return _restart_event(restart, RestartEvent.PLANNED, order=tuple(names), member_count=len(view.zones))
 
 
-def _warmed_up(view: LeaderView, restart: RollingRestart) -> list[Command]:
+def _warmed_up_gateways(view: LeaderView, restart: RollingRestart) -> list[Command]:
     return [
         _gateway_event(restart, name, GatewayEvent.WARM)
         for name, gateway in restart.gateways.items()
@@ -149,8 +157,8 @@
     ]
 
 
-def _lost(view: LeaderView, restart: RollingRestart) -> list[Command]:
-    """A cancelled restart does not wait for gateways that are dead for good."""
+def _lost_gateways(view: LeaderView, restart: RollingRestart) -> list[Command]:
+    """Gateways dead for so long that a cancelled restart does not wait for them."""
     dead_ms = {member_name(member): ms for member, ms in view.dead_for_ms.items()}
     return [
         _gateway_event(restart, name, GatewayEvent.LOST)
@@ -161,10 +169,10 @@
 
 
 def _failure(view: LeaderView, restart: RollingRestart) -> str:
-    """What has gone wrong with a gateway in progress; empty for nothing.
+    """The failure of a gateway in progress; empty if there is none.
 
-    A gateway that ended as planned is not dead, although the old process is seen as dead for a moment when
-    the new one is back."""
+    A gateway that ended as planned is not dead, although its old process may briefly count as dead after the new
+    one is back."""
     dead = {member_name(member) for member in view.dead_for_ms} - {
         member_name(member) for member in view.alive
     }
@@ -191,9 +199,9 @@
 
 
 def _next_event(view: LeaderView, restart: RollingRestart) -> tuple[str, list[Command]]:
-    """The event that can be recorded now, or what is in its way.
+    """The event that can be recorded now, or the obstacle to it.
 
-    It is one at a time: each changes the conditions of the next."""
+    Only one event at a time, since each changes the conditions for the next."""
     obstacle = ""
     for name, gateway in restart.gateways.items():
         event = _event_after(restart, gateway)
@@ -217,8 +225,8 @@
         case GatewayPhase.GRANTING:
             return GatewayEvent.ROOMY
         case GatewayPhase.EMPTYING:
-            holds = restart.request.after_drain == AfterDrain.HOLD
-            return GatewayEvent.HOLD if holds else GatewayEvent.ACT
+            hold_after_drain = restart.request.after_drain == AfterDrain.HOLD
+            return GatewayEvent.HOLD if hold_after_drain else GatewayEvent.ACT
     return None
 
 
@@ -227,7 +235,8 @@
 
 
 def _next_wave(view: LeaderView, restart: RollingRestart) -> tuple[str, list[Command]]:
-    """The next wave: in the order of the plan, each gateway for which conditions hold beside those before."""
+    """The next wave, or the obstacle to it: gateways in the order of the plan, each if the conditions hold without
+    it and those already chosen."""
     alive = {member_name(member) for member in view.alive}
     wave: list[str] = []
     obstacle = ""
--- a/badgeryoke/cluster/rolling_restart/transitions.py
+++ b/badgeryoke/cluster/rolling_restart/transitions.py
@@ -1,8 +1,8 @@
 """States and events of a rolling restart and of each gateway in it, with their transition tables.
 
-Names of members are stored in the log and in snapshots, and values of `RestartState`, `GatewayPhase` and
-`GatewayReport` are part of answers to operators: neither may change, whatever the terms used elsewhere.
-Values of the event types are explanations for readers of the code only.
+Member names are stored in the log and in snapshots, and values of `RestartState`, `GatewayPhase` and
+`GatewayReport` are part of answers to operators: neither may change, even where the code uses another term.
+The values of event types only explain the events.
 """
 
 from __future__ import annotations
@@ -57,14 +57,14 @@
     """Phase of one gateway in a rolling restart, in the order in which phases may follow one another."""
 
     WAITING = "waiting"
-    GRANTING = "granting"  # leads no group any more and returns unused leases; the other gateways grow
-    PAUSING = "pausing"  # draining has begun; the load balancer in front is being notified
-    EMPTYING = "emptying"  # drained, until no request and no connection is open
-    ACTING = "acting"  # the process ends, and a later one of the same gateway starts
-    HELD = "held"  # drained until an operator resumes it, or a later process starts in its place
-    RETURNING = "returning"  # serving again, its copies have not caught up
+    GRANTING = "granting"  # hands over leadership and returns unused leases; the other gateways open more connections
+    PAUSING = "pausing"  # begins to drain; the load balancer is being notified
+    EMPTYING = "emptying"  # drained; requests and connections are still open
+    ACTING = "acting"  # its process ends, and the next one starts
+    HELD = "held"  # drained until an operator resumes it or its next process starts
+    RETURNING = "returning"  # serves again; its replicas have not caught up
     WARMING = "warming"
-    UNDOING = "undoing"  # cancelled while drained: it has to resume
+    UNDOING = "undoing"  # cancelled while drained; it has to resume
     DONE = "done"
     UNDONE = "undone"
 
@@ -98,7 +98,7 @@
     (GatewayPhase.EMPTYING, GatewayEvent.HOLD): GatewayPhase.HELD,
     (GatewayPhase.EMPTYING, GatewayEvent.BACK): GatewayPhase.RETURNING,
     (GatewayPhase.EMPTYING, GatewayEvent.CANCEL): GatewayPhase.UNDOING,
-    # A cancelled restart waits for a gateway that is acting: whether its process has ended is not known.
+    # ACTING has no CANCEL: a cancelled restart waits for the gateway, whose process may have ended already.
     (GatewayPhase.ACTING, GatewayEvent.BACK): GatewayPhase.RETURNING,
     (GatewayPhase.ACTING, GatewayEvent.LOST): GatewayPhase.UNDONE,
     (GatewayPhase.HELD, GatewayEvent.RELEASE): GatewayPhase.RETURNING,
@@ -114,7 +114,7 @@
 }
 PHASE_RANK = {phase: rank for rank, phase in enumerate(GatewayPhase)}
 FINAL_PHASES = frozenset({GatewayPhase.DONE, GatewayPhase.UNDONE})
-# the others carry the traffic of a gateway in one of these
+# phases in which the other gateways carry the gateway's traffic
 UNAVAILABLE_PHASES = frozenset(
     {
         GatewayPhase.GRANTING,
@@ -133,9 +133,9 @@
 
 
 class GatewayReport(StrEnum):
-    """What a gateway reports of itself."""
+    """Progress that a gateway reports."""
 
-    READY = "ready"  # it leads no group, and has returned the connections that it does not use
+    READY = "ready"  # it leads no group and has returned its unused connections
     PAUSED = "paused"
     EMPTY = "empty"
     BACK = "back"
@@ -143,7 +143,7 @@
     RESUMED = "resumed"
 
 
-# the event that a report causes by itself; none: the leader decides, and checks conditions before
+# the event that a report triggers; None: the leader checks the conditions and proposes the event
 REPORTED_EVENTS: dict[GatewayReport, GatewayEvent | None] = {
     GatewayReport.READY: None,
     GatewayReport.PAUSED: GatewayEvent.PAUSED,
@@ -152,7 +152,7 @@
     GatewayReport.WHOLE: GatewayEvent.WHOLE,
     GatewayReport.RESUMED: GatewayEvent.RESUMED,
 }
-# the report that a phase waits for before the leader may propose the next event
+# the report after which the leader may propose the event that ends a phase
 AWAITED_REPORTS: dict[GatewayPhase, GatewayReport] = {
     GatewayPhase.GRANTING: GatewayReport.READY,
     GatewayPhase.EMPTYING: GatewayReport.EMPTY,
@@ -160,7 +160,7 @@
 LEADER_EVENTS = frozenset(
     {GatewayEvent.ROOMY, GatewayEvent.ACT, GatewayEvent.HOLD, GatewayEvent.WARM, GatewayEvent.LOST}
 )
-# the report that must have arrived before the leader's event is accepted
+# the report that must be present when the leader's event is applied
 REQUIRED_REPORTS: dict[GatewayEvent, GatewayReport] = {
     GatewayEvent.ROOMY: GatewayReport.READY,
     GatewayEvent.ACT: GatewayReport.EMPTY,
--- a/badgeryoke/cluster/rolling_restart/waves.py
+++ b/badgeryoke/cluster/rolling_restart/waves.py
@@ -1,13 +1,13 @@
 """Rolling restarts as replicated state: how each command changes it.
 
-Gateways are drained and restarted, or held, in waves.  A wave begins only where the remaining gateways carry
-the present traffic and contracts, each zone stays served, each group keeps its majority, and all copies have
-caught up; no gateway is taken into the next wave before those of the last one serve again and are warm.
-
-Each change is compare-and-set: a gateway's event and report on the gateway's version, a wave and an event of
-the whole restart on the restart's version.  So any leader goes on where another stopped, and a command that
-was proposed twice takes effect once.  The leader decides only where conditions must hold (`scheduler`); the
-other events are reports of the gateways themselves (`gateway_agent`).
+Gateways are drained and restarted, or held, in waves.  A wave begins only if the remaining gateways can carry the
+present traffic and contracts, each zone stays served, each group keeps its majority, and all copies have caught up.
+The next wave begins when all gateways of the last one serve again and are warm.
+
+Each change is compare-and-set: a gateway's event or report on the gateway's version, a wave or an event of the whole
+restart on the restart's version.  So any leader can continue the work of another, and a command that was proposed
+twice takes effect once.  The leader decides only where conditions must hold (`scheduler`); the other events are
+reports of the gateways (`gateway_agent`).
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 )
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 
-MAX_RESTARTS = 16  # kept, with those that have ended; the one that ended first is dropped first
+MAX_RESTARTS = 16  # stored, including ended ones; the oldest ended one is removed first
 
 RestartCommand = (
     CancelRollingRestart | ResumeGateway | RecordRestartEvent | StartWave | RecordGatewayEvent | ReportGateway
@@ -58,7 +58,7 @@
 
 
 class RollingRestarts:
-    """The rolling restarts of a cluster; one at a time is active.  A `StateMachinePart`."""
+    """The rolling restarts of a cluster, at most one of them active.  A `StateMachinePart`."""
 
     def __init__(self, invariants: Invariants) -> None:
         self._invariants = invariants
@@ -67,7 +67,7 @@
 
     @property
     def active(self) -> RollingRestart | None:
-        """The restart that has not ended."""
+        """The restart that has not ended, if there is one."""
         return next(
             (restart for restart in self.restarts.values() if restart.state not in ENDED_STATES), None
         )
@@ -129,10 +129,12 @@
         name = command.restart
         if name in self.restarts:
             return _refused(WrongState(name, "a roll of that name is known already"))
-        if (other := self.active) is not None:
-            return _refused(WrongState(name, f"{other.name} is {other.state.value}: one roll at a time"))
+        if (active_restart := self.active) is not None:
+            return _refused(
+                WrongState(name, f"{active_restart.name} is {active_restart.state.value}: one roll at a time")
+            )
         while len(self.restarts) >= MAX_RESTARTS:
-            del self.restarts[next(iter(self.restarts))]  # all have ended, the first longest ago
+            del self.restarts[next(iter(self.restarts))]  # all have ended; the first is the oldest
         self.restarts[name] = RollingRestart(name, command, since_ms=at_ms)
         return ApplyResult({"roll": name, "state": RestartState.ASKED.value})
 
@@ -160,8 +162,8 @@
                 restart.version += 1
                 resumed += 1
         if not resumed:
-            nobody = "nobody there is held, or, with force, waits to become empty"
-            return _refused(WrongState(restart.name, nobody))
+            problem = "nobody there is held, or, with force, waits to become empty"
+            return _refused(WrongState(restart.name, problem))
         return ApplyResult(restart.summary())
 
     # Commands of the leader.
@@ -187,7 +189,7 @@
         return ApplyResult(restart.summary())
 
     def _check_conditions(self, restart: RollingRestart, conditions: ClusterConditions | None) -> str:
-        """Why gateways may not go, empty where they may; a leader that proposes it all the same has broken an
+        """Why gateways may not be drained, empty if they may; a leader that proposes it all the same has broken an
         invariant."""
         problem = conditions.validate() if conditions is not None else (Rule.WAVE_KEEPS_ROOM, "no facts")
         if problem is None:
@@ -206,8 +208,8 @@
     def _wave_problem(self, restart: RollingRestart, command: StartWave) -> str:
         if command.restart_version != restart.version or restart.state is not RestartState.RUNNING:
             return "it has moved on"
-        fits = 1 <= len(command.gateways) <= restart.request.at_once
-        if not fits or restart.gateways_in_progress():
+        valid_size = 1 <= len(command.gateways) <= restart.request.at_once
+        if not valid_size or restart.gateways_in_progress():
             return "the wave before is under way, or this one is too large"
         waiting = restart.gateways_in(GatewayPhase.WAITING)
         if not waiting.issuperset(command.gateways):
@@ -215,7 +217,7 @@
         return self._check_conditions(restart, command.conditions)
 
     def _is_current(self, gateway: GatewayProgress, version: int) -> bool:
-        """Whether an event or a report was meant for the phase in which the gateway is now."""
+        """Whether an event or a report refers to the present phase of the gateway."""
         return gateway.version == version
 
     def _record_gateway_event(
@@ -248,9 +250,9 @@
         if event not in REQUIRED_REPORTS:
             return ""
         if command.restart_version != restart.version:
-            return "it has moved on"  # the process of another gateway may have ended since
-        holds = restart.request.after_drain == AfterDrain.HOLD
-        wrong_event = GatewayEvent.ACT if holds else GatewayEvent.HOLD
+            return "it has moved on"  # another gateway's process may have ended in the meantime
+        hold_after_drain = restart.request.after_drain == AfterDrain.HOLD
+        wrong_event = GatewayEvent.ACT if hold_after_drain else GatewayEvent.HOLD
         if (
             restart.state is not RestartState.RUNNING
             or gateway.report is not REQUIRED_REPORTS[event]
@@ -262,14 +264,14 @@
     # Reports of gateways.
 
     def _report(self, at_ms: float, restart: RollingRestart, command: ReportGateway) -> ApplyResult:
-        """Take a report in.  One that is out of date changes nothing, and its answer says what is so now."""
+        """Apply a report.  A stale report changes nothing; the answer is the present assignment either way."""
         gateway = restart.gateways.get(command.gateway)
         if gateway is None or not self._is_current(gateway, command.gateway_version):
             return self._assignment(command.gateway)
         report = GatewayReport(command.report)
         event = REPORTED_EVENTS[report]
         if event is not None:
-            # BACK counts from another process than the one whose wave began.
+            # BACK is valid only from another process than the one that ran when the wave began.
             if event is not GatewayEvent.BACK or gateway.process != command.process:
                 restart.advance(at_ms, command.gateway, event, self._invariants)
         elif report is AWAITED_REPORTS.get(gateway.phase):
@@ -286,12 +288,12 @@
         return ApplyResult(assignment_of(self.active, name).to_answer())
 
     def summaries(self) -> list[dict[str, Any]]:
-        """For operators: every restart that is kept."""
+        """All stored restarts, for operators."""
         return [restart.summary() for restart in self.restarts.values()]
 
     def planning_horizon_ms(self) -> float:
-        """How far ahead contracts count as load for the next wave: it may need its deadline twice, to drain
-        and to come back, and then warms up."""
+        """How far ahead contracts count as load for the next wave: it may take the deadline twice, to drain and to
+        return, and then warms up."""
         restart = self.active
         if restart is None:
             return 0.0
@@ -300,7 +302,7 @@
     # Snapshots.
 
     def seen(self, now: float) -> None:
-        """See `StateMachinePart.seen`; nothing here ends by the monotonic clock."""
+        """See `StateMachinePart.seen`; nothing here expires by the monotonic clock."""
 
     def dump(self) -> Any:
         """See `StateMachinePart.dump`."""
