--- a/badgeryoke/cluster/connection_limits/commands.py
+++ b/badgeryoke/cluster/connection_limits/commands.py
@@ -1,7 +1,7 @@
-"""Commands of connection limits, as they are called and stored in the log, and the answer to lease requests.
+"""Commands of connection limits, as called and as stored in the log, and the answer to lease requests.
 
 A command is stored under its tag and its fields' wire names (`name=`): neither may change.  Structs marked
-`array_like` are stored by the order of their fields.  Error texts name fields by their wire names.
+`array_like` are stored in the order of their fields.  Error texts name fields by their wire names.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 from badgeryoke.cluster.messages import MemberId
 from badgeryoke.cluster.state_machine_part import Command
 
-MAX_REQUESTS_PER_CALL = 256  # servers in one call; the others go with the next
+MAX_REQUESTS_PER_CALL = 256  # servers in one call; further ones are requested in the next call
 MAX_LIMIT = 1_000_000  # connections
 MAX_IDLE_TIMEOUT_MS = 3_600_000.0
 
 
 class LeaseRefusal(IntEnum):
-    """In place of a lease's number in an answer: why there is no lease."""
+    """Reason why no lease is granted, in place of the lease number in an answer."""
 
     LEASE_EXPIRED = -1  # the request names a lease that has expired or was released
-    LIMIT_UNKNOWN = -2  # no limit of that server is known
+    LIMIT_UNKNOWN = -2  # the server has no limit set
 
 
 class ReleaseProof(StrEnum):
-    """Why a lease can be released although its holder has not returned it; see the package."""
+    """Reason why a lease can be released without its holder returning it; see the package docstring."""
 
     IDLE = "idle"
     RESET = "reset"
 
 
 class SetConnectionLimit(Command, frozen=True, tag="Limit"):
-    """A server's limit, from the operators' file or from discovery.
+    """Set a server's limit, from the operators' file or from discovery.
 
-    `idle_timeout_ms`: so long after a connection's last use the server has closed it for certain, its longest
-    request included.
+    `idle_timeout_ms`: time after a connection's last use at which the server has certainly closed it, including the
+    time of its longest request.
     """
 
     server: str
@@ -63,7 +63,7 @@
 
 
 class RemoveConnectionLimit(Command, frozen=True, tag="Unlimit"):
-    """The server is gone: nothing is granted any more, and it is forgotten when the last share is returned."""
+    """Remove a server's limit: nothing more is granted, and the entry is deleted with its last lease."""
 
     server: str
 
@@ -73,7 +73,7 @@
 
 
 class ConnectionLeaseRequest(msgspec.Struct, frozen=True, array_like=True):
-    """For one server: the lease held (0: none), what is kept of it from now on, and what is wanted in all."""
+    """For one server: the present lease (0: none), the connections kept of it, and the total wanted."""
 
     server: str
     lease_number: int
@@ -82,10 +82,10 @@
 
 
 class RequestConnectionLeases(Command, frozen=True, tag="ConnLeases"):
-    """Renew, shrink, grow or return leases, for many servers of a bucket at once.
+    """Renew, shrink, grow or return leases, for many servers of a bucket in one call.
 
-    Answered by a `ConnectionLeases`.  `first_request`: of this holder in the bucket; the answer then names the
-    leases of earlier processes on its machine.
+    The answer is a `ConnectionLeases`.  `first_request` marks the holder's first call for the bucket; the answer then
+    lists the leases of earlier processes on its machine.
     """
 
     holder: MemberId
@@ -116,16 +116,16 @@
 
 
 class LeaseReference(NamedTuple):
-    """One lease of a known holder.  A NamedTuple, since it is decoded from an array of just this length."""
+    """One lease of a known holder.  A NamedTuple, so that only an array of exactly this length is decoded."""
 
     server: str
     lease_number: int
 
 
 class ReleaseConnectionLeases(Command, frozen=True, tag="ConnEnd"):
-    """Release leases that their holder cannot return any more; `proof` is a value of `ReleaseProof`.
+    """Release leases whose holder cannot return them; `proof` is a value of `ReleaseProof`.
 
-    The leader proposes it with IDLE, a later process of the same machine (`reported_by`) with RESET.
+    The leader proposes it with IDLE, a later process on the same machine (`reported_by`) with RESET.
     """
 
     holder: MemberId
@@ -160,18 +160,18 @@
 
 
 class ConnectionLease(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to one request.  A `lease_number` of 0 says that nothing is held, a negative one is a
+    """The answer to one request.  A `lease_number` of 0 means that no lease is held, a negative one is a
     `LeaseRefusal`."""
 
     server: str
     lease_number: int
     granted: int = 0
-    target: int = 0  # above it the holder should close connections and return them
-    spare: int = 0  # connections of the limit that are granted to nobody
+    target: int = 0  # the holder should close connections above this number and return them
+    spare: int = 0  # connections within the limit that are not granted
 
 
 class StaleLease(msgspec.Struct, frozen=True, array_like=True):
-    """A lease of an earlier process of the same machine."""
+    """A lease of an earlier process on the same machine."""
 
     holder: MemberId
     server: str
@@ -179,7 +179,7 @@
 
 
 class ConnectionLeases(msgspec.Struct, frozen=True):
-    """The answer to `RequestConnectionLeases`; as plain data its keys are the interface."""
+    """The answer to `RequestConnectionLeases`; its keys as plain data are part of the wire format."""
 
     leases: list[ConnectionLease] = msgspec.field(name="parts")
     stale: list[StaleLease] = msgspec.field(name="old")
--- a/badgeryoke/cluster/connection_limits/holders.py
+++ b/badgeryoke/cluster/connection_limits/holders.py
@@ -1,4 +1,4 @@
-"""Names of lease holders, and the buckets in which a server's leases are kept."""
+"""Ids of lease holders, and the buckets in which the leases of servers are stored."""
 
 from __future__ import annotations
 
@@ -7,29 +7,29 @@
 
 from badgeryoke.cluster.messages import MemberId, member_name
 
-BUCKETS = 16  # over which servers are spread; one call renews all leases of a bucket
+BUCKETS = 16  # servers are distributed over them; one call renews all leases of a bucket
 
 
 class Machine(NamedTuple):
-    """A member's machine since its last boot."""
+    """A member's machine, identified by its present boot."""
 
     member: str
     boot_id: str
 
 
 def server_bucket(server: str) -> str:
-    """The key under which a server's leases are kept."""
+    """The key under which a server's leases are stored."""
     return f"s:{crc32(server.encode()) % BUCKETS:x}"
 
 
 def holder_id(member: MemberId, boot_id: str, process: str) -> MemberId:
-    """A lease holder: one process of a member.  `boot_id`: of its machine (the kernel's), empty where it is
-    not known; `process`: unique among the member's processes."""
+    """Id of a lease holder, that is of one process of a member.  `boot_id`: the kernel's boot id, empty if unknown;
+    `process`: unique among the member's processes."""
     return f"{member}#{boot_id}.{process}"
 
 
 def machine_of(holder: MemberId) -> Machine | None:
-    """The holder's machine, which two processes must share for one to vouch for the other's end; none where
-    the boot id is not known."""
+    """The holder's machine; None if its boot id is unknown.  A process can report the death only of processes on its
+    own machine."""
     boot_id = holder.partition("#")[2].partition(".")[0]
     return Machine(member_name(holder), boot_id) if boot_id else None
--- a/badgeryoke/cluster/connection_limits/lease_holder.py
+++ b/badgeryoke/cluster/connection_limits/lease_holder.py
@@ -1,4 +1,4 @@
-"""The gateway's side: which connections it may open, which it has to close, and what it requests."""
+"""The gateway's side: how many connections it may open or has to close, and its lease requests."""
 
 from __future__ import annotations
 
@@ -38,9 +38,10 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 from badgeryoke.cluster.timings import Timings
 
-# interval between two requests from which on a server's limit counts as forgotten, not as still to come
+# Once the backoff between requests reaches this, a server without a limit is assumed to need one set anew, rather than
+# to have one that is still being recorded.
 UNKNOWN_LIMIT_AFTER_MS = 1000.0
-# from a start, until what an earlier process had open counts as closed by the kernel
+# time after the start of a process by which the kernel has closed the sockets of an earlier one
 KERNEL_RESET_MS = 1000.0
 
 
@@ -48,49 +49,49 @@
 class ConnectionLeaseHolder:
     """The connection leases of one gateway process.  Times (`now`) are ms of a monotonic clock.
 
-    The caller states what it needs (`set_need`), asks before it opens or uses a connection, tells of each one
-    that it opens and closes, closes what `excess` says, sends what `poll` returns and gives the outcome to
-    `answered`.
+    The caller sets its need (`set_need`), checks `may_open` before it opens a connection and `lease_valid` before it
+    uses one, reports each that it opens and closes, closes the `excess`, sends what `poll` returns and passes the
+    outcome to `answered`.
     """
 
-    holder: MemberId  # of `holder_id`
+    holder: MemberId  # from `holder_id`
     timings: Timings
     invariants: Invariants
     started_ms: float  # `now` at the process's start
-    # No other process of this member runs (this one has locked its folder): only then it vouches for the end
-    # of earlier ones.
+    # Whether no other process of this member runs (this one holds the lock on its folder); only then does it report
+    # earlier ones as dead.
     only_process: bool = False
-    need_multiple: float = 1.0  # of the need, while other gateways are unavailable by a rolling restart
+    need_multiple: float = 1.0  # factor on the need while a rolling restart makes other gateways unavailable
     draining: bool = False
     servers: dict[str, ServerConnections] = field(default_factory=dict)
     _pending: dict[str, PendingCall] = field(default_factory=dict)  # by bucket
     _stale: dict[str, list[StaleLease]] = field(default_factory=dict)  # by bucket
     _requested_buckets: set[str] = field(default_factory=set)
-    # Requested in vain, since no limit is known; in order, and cleared by the caller.
+    # Servers whose requests found no limit, in that order; the caller clears it.
     servers_without_limit: dict[str, None] = field(default_factory=dict)
     _call_count: int = 0
 
     # Connections.
 
     def set_need(self, server: str, need: int) -> None:
-        """How many connections would be used now: those in use, and one for each attempt that waits."""
+        """Set how many connections are needed: those in use, and one for each waiting attempt."""
         connections = self.servers.setdefault(server, ServerConnections())
         connections.need = need
         connections.current_peak = max(connections.current_peak, need)
 
     def lease_valid(self, now: float, server: str) -> bool:
-        """Whether the lease is in force; asked before each use of a connection, or a process that was frozen
-        would go on writing."""
+        """Whether the lease is in force; checked before each use of a connection, since a process that was frozen
+        would otherwise continue to write."""
         connections = self.servers.get(server)
         return connections is not None and now < connections.lease_expires_ms
 
     def may_open(self, now: float, server: str) -> bool:
-        """Whether one more connection may be opened."""
+        """Whether another connection may be opened."""
         connections = self.servers.get(server)
         return connections is not None and connections.open < self._max_open(now, connections)
 
     def opened(self, now: float, server: str) -> None:
-        """One is being opened: it counts from before its first packet."""
+        """Count a connection as open; called before its first packet is sent."""
         connections = self.servers.setdefault(server, ServerConnections())
         connections.open += 1
         max_open = self._max_open(now, connections)
@@ -101,18 +102,18 @@
         )
 
     def closing(self, server: str) -> None:
-        """One is being closed."""
+        """Count a connection as being closed."""
         self.servers[server].closing += 1
 
     def closed(self, server: str, begun: bool = False) -> None:
-        """The server has let go of one; `begun`: after `closing`."""
+        """Count a connection as closed by the server; `begun`: after a call of `closing`."""
         connections = self.servers[server]
         connections.open = max(connections.open - 1, 0)
         connections.closing = max(min(connections.closing - begun, connections.open), 0)
 
     def excess(self, now: float) -> list[tuple[str, int]]:
-        """Servers, and how many connections to each have to be closed beside those that are being closed: a
-        lease has shrunk, or nears its expiry.  Which ones is the caller's choice."""
+        """Servers, each with the number of connections to close beyond those already being closed, because a lease has
+        shrunk or nears its expiry.  The caller chooses which ones to close."""
         return [
             (server, excess)
             for server, connections in self.servers.items()
@@ -121,7 +122,7 @@
 
     @property
     def empty(self) -> bool:
-        """Nothing is open and no lease is held."""
+        """Whether nothing is open and no lease is held."""
         return not any(connections.open or connections.lease_number for connections in self.servers.values())
 
     def _max_open(self, now: float, connections: ServerConnections) -> int:
@@ -148,13 +149,14 @@
             return True
         if wanted > connections.granted and since_request_ms >= connections.backoff_ms:
             return True
-        # A lease that may grant nothing is returned soon as well: nobody is to wait for that.
+        # An unused lease of a draining gateway is returned early too, even with nothing granted, so that the drain does
+        # not wait for it.
         unused = self.draining and not wanted and not connections.open
         closed_down = connections.open <= self._max_open(now, connections) < connections.granted
         return (unused or closed_down) and since_request_ms >= MIN_REQUEST_INTERVAL_MS / 2
 
     def poll(self, now: float, wall: float) -> list[Command]:
-        """The commands to send now, one for each bucket at most."""
+        """The commands to send now, at most one for each bucket."""
         commands: list[Command] = []
         buckets: dict[str, list[str]] = {}
         for server in self.servers:
@@ -180,7 +182,7 @@
         return self._request(now, bucket, wanted)
 
     def _release_stale(self, bucket: str) -> ReleaseConnectionLeases:
-        """Release the leases of one earlier process."""
+        """The command that releases the leases of one earlier process."""
         stale = self._stale[bucket]
         holder = stale[0].holder
         return ReleaseConnectionLeases(
@@ -195,13 +197,13 @@
         )
 
     def _request(self, now: float, bucket: str, wanted: dict[str, int]) -> RequestConnectionLeases:
-        """Request for all servers of a bucket, those first whose last request is the oldest."""
+        """The request for all servers of a bucket, starting with those whose last request is the oldest."""
         servers = [server for server, count in wanted.items() if self.servers[server].lease_number or count]
         servers.sort(key=lambda server: self.servers[server].requested_at_ms)
         requests = []
         for server in servers[:MAX_REQUESTS_PER_CALL]:
             connections = self.servers[server]
-            # It has closed down to what it keeps before it says so, and opens no more before the answer.
+            # The kept connections include all that are open, and no more are opened before the answer.
             keep = max(connections.open, min(self._max_open(now, connections), wanted[server]))
             connections.max_open = min(keep, connections.granted)
             connections.requested_at_ms = now
@@ -224,14 +226,14 @@
     # Answers.
 
     def answered(self, now: float, command: Command, result: ApplyResult | ClusterError) -> None:
-        """Take in what became of a command of `poll`."""
+        """Handle the outcome of a command from `poll`."""
         bucket = command.key()
         pending = self._pending.get(bucket)
         if pending is None or pending.command.id != command.id:
             return
         error = result if isinstance(result, ClusterError) else result.error
         if error is not None and not isinstance(error, InvalidCall | DuplicateId | WrongState):
-            # Whether it took effect is not known: the same again, with its id, until it is.
+            # Its outcome is unknown: it is retried with the same id until it is known.
             pending.outcome_unknown(now, self.timings.lease_ms)
             return
         del self._pending[bucket]
@@ -243,7 +245,7 @@
                 self._take_answer(command, answer, pending.first_sent_ms)
 
     def _stale_released(self, command: ReleaseConnectionLeases) -> None:
-        """Whatever the outcome: a lease that is released already is not in force either."""
+        """Delete the stale leases whatever the outcome: after an error they are no longer in force either."""
         remaining = [lease for lease in self._stale.pop(command.bucket, []) if lease.holder != command.holder]
         if remaining:
             self._stale[command.bucket] = remaining
@@ -257,14 +259,14 @@
         wanted = {request.server: request.wanted for request in command.requests}
         for lease in answer.leases:
             self._take_lease(lease, wanted[lease.server], sent_ms)
-        # Servers come and go: those that are not used are not remembered.
+        # Servers are added and removed over time, so entries of unused ones are deleted.
         for server in [server for server, connections in self.servers.items() if connections.unused]:
             del self.servers[server]
 
     def _take_lease(self, lease: ConnectionLease, wanted: int, sent_ms: float) -> None:
         connections = self.servers.setdefault(lease.server, ServerConnections())
-        longest_ms = renewal_interval_ms(self.timings)
-        connections.back_off(lease.granted < wanted, longest_ms)
+        max_backoff_ms = renewal_interval_ms(self.timings)
+        connections.back_off(lease.granted < wanted, max_backoff_ms)
         if lease.lease_number > 0:
             connections.lease_number, connections.granted = lease.lease_number, lease.granted
             connections.max_open = min(lease.granted, lease.target)
@@ -272,9 +274,9 @@
             return
         connections.drop_lease()
         if not wanted:
-            # What was returned may be requested again at once: a query does not wait long.
+            # A returned lease may be requested again immediately, since queries are waiting for at most a short time.
             connections.requested_at_ms = -math.inf
         elif lease.lease_number == LeaseRefusal.LIMIT_UNKNOWN and connections.backoff_ms >= min(
-            UNKNOWN_LIMIT_AFTER_MS, longest_ms
+            UNKNOWN_LIMIT_AFTER_MS, max_backoff_ms
         ):
             self.servers_without_limit[lease.server] = None
--- a/badgeryoke/cluster/connection_limits/limits.py
+++ b/badgeryoke/cluster/connection_limits/limits.py
@@ -1,4 +1,4 @@
-"""The replicated part: each server's limit, and which gateway holds how much of it."""
+"""The replicated part: each server's limit, and the share of it that each holder has leased."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 from badgeryoke.cluster.timings import Timings
 
-MAX_SERVERS = 4096  # of one group; more limits are rejected
-MAX_RELEASES_PER_HEARTBEAT = 64  # commands that the leader proposes; the others wait for the next
+MAX_SERVERS = 4096  # in one group; further limits are rejected
+MAX_RELEASES_PER_HEARTBEAT = 64  # commands proposed by the leader; the others follow at the next heartbeat
 
 
 @dataclass(slots=True)
 class ServerLimit:
-    """One server's limit: `pool.target` is the limit, and `pool.capacity` is above it while more is granted than
-    a lowered limit."""
+    """One server's limit.  `pool.target` is the limit; `pool.capacity` is higher while more than a lowered limit is
+    granted."""
 
     idle_timeout_ms: float
     pool: LeasePool
@@ -52,7 +52,7 @@
     def __init__(self, invariants: Invariants, timings: Timings) -> None:
         self._invariants, self._timings = invariants, timings
         self.servers: dict[str, ServerLimit] = {}
-        # Over all servers, so that one that was removed and comes back does not begin at 1 again.
+        # Shared by all servers, so that numbers do not start at 1 again for a server that is removed and added again.
         self._last_lease_number = 0
 
     def apply(self, at_ms: float, command: Command) -> ApplyResult:
@@ -124,7 +124,9 @@
         grant = pool.request(
             LeaseRequest(holder, request.lease_number, request.keep, request.wanted, 0.0), self._invariants
         )
-        if not isinstance(grant, LeaseGrant):  # the request keeps more than is held, or of an expired lease
+        if not isinstance(
+            grant, LeaseGrant
+        ):  # the request keeps more than its lease has, or names an expired one
             return ConnectionLease(request.server, LeaseRefusal.LEASE_EXPIRED)
         share = pool.leases.get(holder)
         if share is None:
@@ -141,26 +143,28 @@
         request: ConnectionLeaseRequest,
         pool: LeasePool,
         share: LeaseShare,
-        fair: float,
+        fair_share: float,
     ) -> int:
-        """Grant one more connection where the holder is below its target; gives the target.
+        """Grant one more connection if the holder is below its target; returns the target.
 
-        A fair share of 0.12 is one connection for those who come first, or nobody would have any.  What is
-        left beyond the whole connections of the fair shares goes to nobody while another has less than those,
-        or it would circulate between holders that have them already."""
-        whole_share = int(fair + EPSILON)
+        A fair share below 1 is rounded up to one connection, granted in the order of requests; otherwise no holder
+        would get any.  Connections left over from rounding shares down are not granted while another holder has less
+        than its rounded-down share; otherwise they would circulate among holders that have theirs already."""
+        whole_share = int(fair_share + EPSILON)
         others_short = any(
             other.share + EPSILON < min(other.wanted, whole_share)
             for name, other in pool.leases.items()
             if name != holder
         )
-        target = min(whole_share if others_short else math.ceil(fair - EPSILON), request.wanted)
+        target = min(whole_share if others_short else math.ceil(fair_share - EPSILON), request.wanted)
         granted = pool.granted()
         if share.share < target and pool.target - granted >= 1.0 - EPSILON:
             pool.grow(holder, 1.0)
             granted += 1.0
         if pool.target - granted >= 1.0 - EPSILON and not others_short:
-            target = max(target, int(share.share))  # nobody is short: idle connections may stay open
+            target = max(
+                target, int(share.share)
+            )  # no holder is below its share: idle connections may stay open
         return target
 
     def _check_grant(self, server: str, pool: LeasePool, share: LeaseShare, granted_before: float) -> None:
@@ -189,19 +193,19 @@
         return ApplyResult({"ended": released})
 
     def lease_duration_ms(self) -> float:
-        """Life of a lease by its holder's clock."""
+        """Duration of a lease by its holder's clock."""
         return connection_lease_ms(self._timings)
 
     def expiry_after_ms(self, idle_timeout_ms: float) -> float:
-        """From when a grant was seen here until its holder's connections are closed at the server, whatever
-        became of the holder: the lease and then the idle timeout, by the slowest clock there, measured by the
-        fastest here."""
+        """Time from when a grant was seen here until the server has closed the holder's connections, even if the holder
+        is dead: the lease and then the idle timeout, assuming the slowest clock at the holder and the fastest
+        here."""
         drift = self._timings.clock_drift
-        slowest = (self.lease_duration_ms() + idle_timeout_ms) * (1.0 + drift) / (1.0 - drift)
-        return slowest + CLOSE_BEFORE_EXPIRY_MS
+        longest_ms = (self.lease_duration_ms() + idle_timeout_ms) * (1.0 + drift) / (1.0 - drift)
+        return longest_ms + CLOSE_BEFORE_EXPIRY_MS
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
-        """Release the leases of holders that are lost."""
+        """Release the leases of lost holders."""
         self.seen(view.now)
         expired: dict[tuple[MemberId, str], list[LeaseReference]] = {}
         for server, limit in self.servers.items():
@@ -220,7 +224,7 @@
             limit.pool.mark_seen(now)
 
     def summary(self) -> dict[str, Any]:
-        """For operators, by the keys of the interface: limit, connections granted, number of holders."""
+        """For operators, under wire keys: the limit, the connections granted, and the number of holders."""
         return {
             server: {
                 "limit": int(limit.pool.target),
@@ -250,7 +254,7 @@
 
 
 def _release_command(holder: MemberId, bucket: str, leases: list[LeaseReference]) -> ReleaseConnectionLeases:
-    # The id names the leases by a checksum over plain tuples, so that a repeat is harmless.
+    # The id contains a checksum of the leases as plain tuples, so that a repeated proposal has the same id.
     checksum = crc32(repr([(lease.server, lease.lease_number) for lease in leases]).encode())
     return ReleaseConnectionLeases(
         id=f"conn-end/{bucket}/{holder}/{checksum:08x}",
--- a/badgeryoke/cluster/unreported_usage.py
+++ b/badgeryoke/cluster/unreported_usage.py
@@ -1,13 +1,13 @@
-"""Usage that a gateway has yet to report to the quota counter, in batches that outlive the gateway.
+"""Usage not yet reported to the quota counter, in batches that survive the gateway that recorded them.
 
-A gateway that cannot reach the counter records what it owes as replicated state, so that any gateway that is
-left can report it.  A batch is reported by one gateway at a time: it is claimed through the log before the
-counter is called, and confirmed afterwards.
+A gateway that cannot reach the counter records its unreported usage as replicated state, so that any other gateway
+can report it.  A batch is reported by one gateway at a time: that gateway claims it through the log before it calls
+the counter, and confirms it afterwards.
 
-At most once: a batch whose reporter called the counter and got no answer, or died after its claim, is *not*
-reported again.  Its units may be missing at the counter, but are never counted twice: a customer may then be
-admitted for one batch more, and is never rejected for what it did not use.  The hard ceiling does not depend
-on these reports.
+Delivery is at most once: a batch whose reporter got no answer from the counter, or died after its claim, is *not*
+reported again.  Its units may be missing at the counter, but are never counted twice: a customer may be admitted for
+one batch more, and is never rejected for usage that it did not have.  The hard ceiling does not depend on these
+reports.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from badgeryoke.cluster.messages import MemberId
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 
-# Of the unreported batches in one group, a part of what a snapshot takes; further ones are rejected, and stay
-# with their gateway.
+# Limit for all batches of one group, which are part of its snapshot; further batches are rejected, and stay with
+# their gateway.
 MAX_UNREPORTED_BYTES = 24 * 1024 * 1024
-MIN_BATCH_BYTES = 24 * 1024  # that a batch counts for: 1024 batches are kept at most
-BATCH_OVERHEAD_BYTES = 512  # for a batch's name and its gateways
+MIN_BATCH_BYTES = 24 * 1024  # minimum size charged for a batch, which limits a group to 1024 batches
+BATCH_OVERHEAD_BYTES = 512  # for the name of a batch and the ids of its gateways
 LINE_OVERHEAD_BYTES = 24
 MAX_LINES = 256
 MAX_NAME_CHARACTERS = 64
 MAX_UNITS = 1e9
-MAX_BATCH_AGE_MS = 60_000.0  # the counter forgets a name after so long: an older batch is of no use
+MAX_BATCH_AGE_MS = 60_000.0  # the counter deletes a name after this time, so older batches are useless
 
 
 class UsageLine(msgspec.Struct, frozen=True, array_like=True):
@@ -42,9 +42,9 @@
 
 
 class RecordUsage(Command, frozen=True, kw_only=True, tag="Owe"):
-    """`debtor` owes these; the command's `id` is the name of the batch."""
+    """Record usage that `debtor` has not reported; the command's `id` is the name of the batch."""
 
-    tenant: str  # decides the group that keeps it
+    tenant: str  # determines the group that stores the batch
     debtor: MemberId = msgspec.field(name="by")
     lines: tuple[UsageLine, ...]
 
@@ -67,7 +67,7 @@
 
 
 class ClaimUsage(Command, frozen=True, kw_only=True, tag="Claim"):
-    """`reporter` is going to report a batch; the answer holds its lines, and is given once."""
+    """Claim a batch for reporting by `reporter`; the answer has its lines.  A batch can be claimed once."""
 
     tenant: str
     batch: str
@@ -79,7 +79,7 @@
 
 
 class ConfirmUsageReported(Command, frozen=True, kw_only=True, tag="OwedTold"):
-    """The counter has a batch, or `outcome_known` is false: then nobody knows, and it is not reported again."""
+    """Close a batch: the counter has it or, with `outcome_known` false, may have it; it is not reported again."""
 
     tenant: str
     batch: str
@@ -92,7 +92,7 @@
 
 
 class ReadUnreportedUsage(Command, frozen=True, kw_only=True, tag="OwedRead"):
-    """Names of the batches that nobody has claimed, oldest first."""
+    """Read the names of the unclaimed batches, oldest first."""
 
     reads: ClassVar[bool] = True
     tenant: str
@@ -121,12 +121,12 @@
     reporter: MemberId = ""
 
     def size_bytes(self) -> int:
-        """What the batch counts for."""
+        """Size that is charged for the batch."""
         lines = sum(len(line.name.encode()) + LINE_OVERHEAD_BYTES for line in self.lines)
         return max(BATCH_OVERHEAD_BYTES + len(self.tenant.encode()) + lines, MIN_BATCH_BYTES)
 
     def units(self) -> float:
-        """Sum over its lines."""
+        """Sum of the units of its lines."""
         return sum(line.units for line in self.lines)
 
     def dump_lines(self) -> list[list[Any]]:
@@ -138,9 +138,9 @@
     """The unreported batches of a group.  A `StateMachinePart`."""
 
     def __init__(self) -> None:
-        self._batches: dict[str, UsageBatch] = {}  # in the order of their arrival
+        self._batches: dict[str, UsageBatch] = {}  # in the order in which they were recorded
         self._total_bytes = 0
-        self.unknown_units = 0.0  # of which nobody knows whether the counter has them
+        self.unknown_units = 0.0  # units that the counter may or may not have
 
     def apply(self, at_ms: float, command: Command) -> ApplyResult:
         """See `StateMachinePart.apply`."""
@@ -157,12 +157,12 @@
     def _drop_expired(self, at_ms: float) -> None:
         for name, batch in list(self._batches.items()):
             if at_ms - batch.since_ms <= MAX_BATCH_AGE_MS:
-                break  # the later ones are younger
+                break  # the following batches are newer
             self._close(name, outcome_known=False)
 
     def _record(self, at_ms: float, command: RecordUsage) -> ApplyResult:
         if command.id in self._batches:
-            # A repeat whose answer was forgotten; a claim of the batch goes on.
+            # A repeated call whose remembered answer was dropped; the batch keeps its claim.
             return ApplyResult(True)
         batch = UsageBatch(at_ms, command.tenant, command.debtor, command.lines)
         size_bytes = batch.size_bytes()
@@ -207,7 +207,7 @@
         )
 
     def leader_tasks(self, view: LeaderView) -> list[Command]:
-        """Close the batches, as unknown, whose reporter is dead for good."""
+        """Close the batches whose reporter has been dead for `repair_after_ms`, with an unknown outcome."""
         return [
             ConfirmUsageReported(
                 id=f"owed/{name}/lost",
@@ -221,7 +221,7 @@
         ]
 
     def seen(self, now: float) -> None:
-        """See `StateMachinePart.seen`; nothing here ends by this machine's clock."""
+        """See `StateMachinePart.seen`; nothing here expires by this machine's clock."""
 
     def dump(self) -> Any:
         """See `StateMachinePart.dump`; the order of the lists is the stored format."""
