--- a/badgeryoke/cluster/rolling_restart/waves.py
+++ b/badgeryoke/cluster/rolling_restart/waves.py
@@ -53,7 +53,7 @@
 )
 
 
-def _refused(error: AnyError) -> ApplyResult:
+def _rejected(error: AnyError) -> ApplyResult:
     return ApplyResult(error=error)
 
 
@@ -75,7 +75,7 @@
     def apply(self, at_ms: float, command: Command) -> ApplyResult:
         """See `StateMachinePart.apply`."""
         if problem := command.validate():
-            return _refused(InvalidCall("roll", problem))
+            return _rejected(InvalidCall("roll", problem))
         match command:
             case ReadDesiredState():
                 return self._assignment(command.gateway)
@@ -91,9 +91,9 @@
             ):
                 restart = self.restarts.get(command.restart)
                 if restart is None:
-                    return _refused(NotFound(command.restart, "no roll of that name is known"))
+                    return _rejected(NotFound(command.restart, "no roll of that name is known"))
                 return self._apply_to(at_ms, restart, command)
-        return _refused(NotFound("roll", "no roll of that name is known"))
+        return _rejected(NotFound("roll", "no roll of that name is known"))
 
     def _apply_to(self, at_ms: float, restart: RollingRestart, command: RestartCommand) -> ApplyResult:
         match command:
@@ -128,9 +128,9 @@
     def _start(self, at_ms: float, command: StartRollingRestart) -> ApplyResult:
         name = command.restart
         if name in self.restarts:
-            return _refused(WrongState(name, "a roll of that name is known already"))
+            return _rejected(WrongState(name, "a roll of that name is known already"))
         if (active_restart := self.active) is not None:
-            return _refused(
+            return _rejected(
                 WrongState(name, f"{active_restart.name} is {active_restart.state.value}: one roll at a time")
             )
         while len(self.restarts) >= MAX_RESTARTS:
@@ -140,14 +140,14 @@
 
     def _cancel(self, at_ms: float, restart: RollingRestart) -> ApplyResult:
         if not restart.transition(at_ms, RestartEvent.CANCEL, "cancelled"):
-            return _refused(WrongState(restart.name, f"it is {restart.state.value}"))
+            return _rejected(WrongState(restart.name, f"it is {restart.state.value}"))
         for name in restart.gateways:
             restart.advance(at_ms, name, GatewayEvent.CANCEL, self._invariants)
         return ApplyResult(restart.summary())
 
     def _resume(self, at_ms: float, restart: RollingRestart, command: ResumeGateway) -> ApplyResult:
         if command.gateway and command.gateway not in restart.gateways:
-            return _refused(NotFound(command.gateway, f"not in {restart.name}"))
+            return _rejected(NotFound(command.gateway, f"not in {restart.name}"))
         resumed = 0
         for name in [command.gateway] if command.gateway else list(restart.gateways):
             gateway = restart.gateways[name]
@@ -163,7 +163,7 @@
                 resumed += 1
         if not resumed:
             problem = "nobody there is held, or, with force, waits to become empty"
-            return _refused(WrongState(restart.name, problem))
+            return _rejected(WrongState(restart.name, problem))
         return ApplyResult(restart.summary())
 
     # Commands of the leader.
@@ -177,12 +177,12 @@
             or event is None
             or event in (RestartEvent.CANCEL, RestartEvent.FINISHED)
         ):
-            return _refused(WrongState(restart.name, "it has moved on"))
+            return _rejected(WrongState(restart.name, "it has moved on"))
         planned = event is RestartEvent.PLANNED
         if planned and (not command.order or len(set(command.order)) < len(command.order)):
-            return _refused(InvalidCall(restart.name, "order: expected gateways, each once"))
+            return _rejected(InvalidCall(restart.name, "order: expected gateways, each once"))
         if not restart.transition(at_ms, event, command.cause):
-            return _refused(WrongState(restart.name, f"it is {restart.state.value}"))
+            return _rejected(WrongState(restart.name, f"it is {restart.state.value}"))
         if planned:
             restart.gateways = {name: GatewayProgress(since_ms=at_ms) for name in command.order}
             restart.member_count = max(command.member_count, 1)
@@ -200,7 +200,7 @@
 
     def _start_wave(self, at_ms: float, restart: RollingRestart, command: StartWave) -> ApplyResult:
         if problem := self._wave_problem(restart, command):
-            return _refused(WrongState(restart.name, problem))
+            return _rejected(WrongState(restart.name, problem))
         for name in command.gateways:
             restart.advance(at_ms, name, GatewayEvent.BEGIN, self._invariants)
         return ApplyResult(restart.summary())
@@ -230,12 +230,12 @@
             or event not in LEADER_EVENTS
             or not self._is_current(gateway, command.gateway_version)
         ):
-            return _refused(WrongState(restart.name, f"{command.gateway} has moved on"))
+            return _rejected(WrongState(restart.name, f"{command.gateway} has moved on"))
         assert event is not None  # LEADER_EVENTS holds no None
         if problem := self._event_problem(restart, gateway, event, command):
-            return _refused(WrongState(restart.name, problem))
+            return _rejected(WrongState(restart.name, problem))
         if not restart.advance(at_ms, command.gateway, event, self._invariants):
-            return _refused(WrongState(restart.name, f"{command.gateway} is {gateway.phase.value}"))
+            return _rejected(WrongState(restart.name, f"{command.gateway} is {gateway.phase.value}"))
         return ApplyResult(restart.summary())
 
     def _event_problem(
