--- a/badgeryoke/cluster/connection_limits/limits.py
+++ b/badgeryoke/cluster/connection_limits/limits.py
@@ -147,9 +147,10 @@
     ) -> int:
         """Grant one more connection if the holder is below its target; returns the target.
 
-        A fair share below 1, such as 0.12, is rounded up to one connection, granted in the order of requests; otherwise no holder
-        would get any.  Connections left over from rounding shares down are not granted while another holder has less
-        than its rounded-down share; otherwise they would circulate among holders that have theirs already."""
+        A fair share below 1, such as 0.12, is rounded up to one connection, granted in the order of requests;
+        otherwise no holder would get any.  Connections left over from rounding shares down are not granted while
+        another holder has less than its rounded-down share; otherwise they would circulate among holders that have
+        theirs already."""
         whole_share = int(fair_share + EPSILON)
         others_short = any(
             other.share + EPSILON < min(other.wanted, whole_share)
