--- a/badgeryoke/cluster/connection_limits/lease_holder.py
+++ b/badgeryoke/cluster/connection_limits/lease_holder.py
@@ -105,11 +105,11 @@
         """Count a connection as being closed."""
         self.servers[server].closing += 1
 
-    def closed(self, server: str, begun: bool = False) -> None:
-        """Count a connection as closed by the server; `begun`: after a call of `closing`."""
+    def closed(self, server: str, already_closing: bool = False) -> None:
+        """Count a connection as closed by the server; `already_closing`: after a call of `closing`."""
         connections = self.servers[server]
         connections.open = max(connections.open - 1, 0)
-        connections.closing = max(min(connections.closing - begun, connections.open), 0)
+        connections.closing = max(min(connections.closing - already_closing, connections.open), 0)
 
     def excess(self, now: float) -> list[tuple[str, int]]:
         """Servers, each with the number of connections to close beyond those already being closed, because a lease has
--- a/badgeryoke/cluster/unreported_usage.py
+++ b/badgeryoke/cluster/unreported_usage.py
@@ -42,10 +42,10 @@
 
 
 class RecordUsage(Command, frozen=True, kw_only=True, tag="Owe"):
-    """Record usage that `debtor` has not reported; the command's `id` is the name of the batch."""
+    """Record usage that `recorded_by` has not reported; the command's `id` is the name of the batch."""
 
     tenant: str  # determines the group that stores the batch
-    debtor: MemberId = msgspec.field(name="by")
+    recorded_by: MemberId = msgspec.field(name="by")
     lines: tuple[UsageLine, ...]
 
     def key(self) -> str:
@@ -116,7 +116,7 @@
 
     since_ms: float  # group's time, Unix ms
     tenant: str
-    debtor: MemberId
+    recorded_by: MemberId
     lines: tuple[UsageLine, ...]
     reporter: MemberId = ""
 
@@ -164,7 +164,7 @@
         if command.id in self._batches:
             # A repeated call whose remembered answer was dropped; the batch keeps its claim.
             return ApplyResult(True)
-        batch = UsageBatch(at_ms, command.tenant, command.debtor, command.lines)
+        batch = UsageBatch(at_ms, command.tenant, command.recorded_by, command.lines)
         size_bytes = batch.size_bytes()
         if self._total_bytes + size_bytes > MAX_UNREPORTED_BYTES:
             return ApplyResult(
@@ -228,7 +228,7 @@
         return [
             self.unknown_units,
             [
-                [name, batch.since_ms, batch.tenant, batch.debtor, batch.dump_lines(), batch.reporter]
+                [name, batch.since_ms, batch.tenant, batch.recorded_by, batch.dump_lines(), batch.reporter]
                 for name, batch in self._batches.items()
             ],
         ]
@@ -237,7 +237,9 @@
         """See `StateMachinePart.load`."""
         self.unknown_units, batches = raw
         self._batches = {
-            name: UsageBatch(since_ms, tenant, debtor, tuple(UsageLine(*line) for line in lines), reporter)
-            for name, since_ms, tenant, debtor, lines, reporter in batches
+            name: UsageBatch(
+                since_ms, tenant, recorded_by, tuple(UsageLine(*line) for line in lines), reporter
+            )
+            for name, since_ms, tenant, recorded_by, lines, reporter in batches
         }
         self._total_bytes = sum(batch.size_bytes() for batch in self._batches.values())
--- a/badgeryoke/gateway/cluster/connection_leases.py
+++ b/badgeryoke/gateway/cluster/connection_leases.py
@@ -120,7 +120,7 @@
     def _connection_closed(self, lease: UpstreamLease) -> None:
         assert self._holder is not None
         lease.open_count -= 1
-        self._holder.closed(lease.server, begun=True)
+        self._holder.closed(lease.server, already_closing=True)
         self._remove_if_unused(lease)
         self._notify_upstreams(lease.server)
 
--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -869,7 +869,7 @@
         if kind == 13:
             lines = tuple(UsageLine(f"n{at}", self.figure(9.0), 1000.0) for at in range(draw.randint(0, 3)))
             return RecordUsage(
-                id=batch, tenant=draw.choice(("ta", "tb")), debtor=draw.choice(WHO), lines=lines
+                id=batch, tenant=draw.choice(("ta", "tb")), recorded_by=draw.choice(WHO), lines=lines
             )
         if kind == 14:
             return ClaimUsage(id=self.id(), tenant="ta", batch=batch, reporter=draw.choice(WHO))
@@ -1250,14 +1250,14 @@
             is_open[server] = is_open.get(server, 0) + 1
         elif is_open.get(server, 0) and draw.random() < 0.1:
             keeper.closing(server)
-            keeper.closed(server, begun=True)
+            keeper.closed(server, already_closing=True)
             is_open[server] -= 1
     must = keeper.excess(now)
     digest.add(must)
     for server, count in must:
         for _ in range(count):
             keeper.closing(server)
-            keeper.closed(server, begun=True)
+            keeper.closed(server, already_closing=True)
             is_open[server] -= 1
     digest.add(keeper.empty)
 
--- a/tests/cluster/test_connection_limits.py
+++ b/tests/cluster/test_connection_limits.py
@@ -98,8 +98,8 @@
     def closing(self: ConnectionLeaseHolder, server: str) -> None:
         self.servers[server].open -= 1
 
-    def closed(self: ConnectionLeaseHolder, server: str, begun: bool = False) -> None:
-        self.servers[server].open -= not begun
+    def closed(self: ConnectionLeaseHolder, server: str, already_closing: bool = False) -> None:
+        self.servers[server].open -= not already_closing
 
     patch.setattr(ConnectionLeaseHolder, "closing", closing)
     patch.setattr(ConnectionLeaseHolder, "closed", closed)
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -671,7 +671,7 @@
         return made.apply(
             at_ms,
             unreported_usage.RecordUsage(
-                id=id_, tenant="t", debtor="a/1", lines=(unreported_usage.UsageLine("n", 3.0, 1000.0),)
+                id=id_, tenant="t", recorded_by="a/1", lines=(unreported_usage.UsageLine("n", 3.0, 1000.0),)
             ),
         )
 
@@ -1324,7 +1324,7 @@
     assert asked.keep == 3 and part.servers["s"].pool.granted() >= 3.0
     for _ in range(2):
         made.closing("s")
-        made.closed("s", begun=True)
+        made.closed("s", already_closing=True)
     made.closing("s")
     made.closed("s")  # its end came by itself, while it was being closed
     assert made.servers["s"].open == made.servers["s"].closing == 0
@@ -1793,7 +1793,7 @@
     return unreported_usage.RecordUsage(
         id=f"{number:0128}",
         tenant="t",
-        debtor="a/00000000",
+        recorded_by="a/00000000",
         lines=tuple(
             unreported_usage.UsageLine("\U0001f600" * 60 + f"{at:04}", 1.5, 60_000.0)
             for at in range(unreported_usage.MAX_LINES)
@@ -1805,7 +1805,7 @@
     return unreported_usage.RecordUsage(
         id=f"{number:0128}",
         tenant="t",
-        debtor="a/00000000",
+        recorded_by="a/00000000",
         lines=tuple(
             unreported_usage.UsageLine(f"{at:064}", 1.5, 60_000.0) for at in range(unreported_usage.MAX_LINES)
         ),
--- a/tests/support/cluster_history.py
+++ b/tests/support/cluster_history.py
@@ -212,8 +212,8 @@
     ),
     (4.0, _connections(2, "a/1#boot.9", 0, 0, 8, False)),
     (5.0, _connections(3, "b/2#boot.7", 0, 0, 30, True)),
-    (6.0, unreported_usage.RecordUsage(id="o1", tenant=TENANT, debtor="a/1", lines=OWED)),
-    (7.0, unreported_usage.RecordUsage(id="o2", tenant=TENANT, debtor="b/2", lines=OWED[:1])),
+    (6.0, unreported_usage.RecordUsage(id="o1", tenant=TENANT, recorded_by="a/1", lines=OWED)),
+    (7.0, unreported_usage.RecordUsage(id="o2", tenant=TENANT, recorded_by="b/2", lines=OWED[:1])),
     (
         60_100.0,
         unreported_usage.ClaimUsage(id="o3", tenant=TENANT, batch="o1", reporter="b/2"),
@@ -246,9 +246,9 @@
     ),
     (60_502.0, _lease(7, "a/1", 1, 1, 20.0, 40.0, False)),  # comes behind a later one
     (60_503.0, ReleaseLease(id="f8", tenant=TENANT, contract=CONTRACT, holder="b/2", lease_number=2)),
-    (60_504.0, unreported_usage.RecordUsage(id="o4", tenant=TENANT, debtor="c/3", lines=OWED)),
+    (60_504.0, unreported_usage.RecordUsage(id="o4", tenant=TENANT, recorded_by="c/3", lines=OWED)),
     (60_505.0, unreported_usage.ClaimUsage(id="o5", tenant=TENANT, batch="o4", reporter="a/1")),
-    (60_506.0, unreported_usage.RecordUsage(id="o6", tenant=TENANT, debtor="c/3", lines=OWED[1:])),
+    (60_506.0, unreported_usage.RecordUsage(id="o6", tenant=TENANT, recorded_by="c/3", lines=OWED[1:])),
     (60_507.0, unreported_usage.ClaimUsage(id="o7", tenant=TENANT, batch="o6", reporter="a/1")),
     (
         60_508.0,
--- a/tests/support/cluster_samples.py
+++ b/tests/support/cluster_samples.py
@@ -299,7 +299,7 @@
             reported_by="a/1#boot.10",
         ),
     ),
-    ("owe", unreported_usage.RecordUsage(id="o1", tenant="north", debtor="a/1", lines=OWED)),
+    ("owe", unreported_usage.RecordUsage(id="o1", tenant="north", recorded_by="a/1", lines=OWED)),
     ("claim", unreported_usage.ClaimUsage(id="o2", tenant="north", batch="o1", reporter="b/2")),
     (
         "owed-told",
--- a/tests/support/connection_simulation.py
+++ b/tests/support/connection_simulation.py
@@ -197,7 +197,7 @@
         for server, sockets in gateway.sockets.items():
             for socket in sockets:
                 if socket.closes_ms <= self.true_ms or socket not in self.sockets[server]:
-                    gateway.holder.closed(server, begun=socket.closes_ms < NEVER)
+                    gateway.holder.closed(server, already_closing=socket.closes_ms < NEVER)
                 elif gateway.holder.lease_valid(now, server):
                     socket.last_used_ms = self.true_ms
             gateway.sockets[server] = [
