--- a/tests/cluster/test_connection_limits.py
+++ b/tests/cluster/test_connection_limits.py
@@ -1,4 +1,5 @@
-"""Connection limits: leases of gateways never sum to more than a server's limit, whatever is lost."""
+"""Connection limits: the leases of all gateways never exceed a server's limit, whichever messages or gateways
+are lost."""
 
 from __future__ import annotations
 
@@ -30,12 +31,12 @@
 from tests.support.cluster_runs import CLOCK_DRIFT, TIMINGS, first_broken_rule, run_state_machine
 from tests.support.connection_simulation import IDLE_TIMEOUT_MS, LIMITS, ConnectionSimulation
 
-# Under drawn faults
+# Under random faults
 # ----------------------------------------------------------------------------------------------------------
 
 
 class ConnectionsMachine(RuleBasedStateMachine):
-    """Hypothesis chooses what happens, and shrinks it; all else is the simulation."""
+    """Hypothesis draws and shrinks the steps; the simulation carries them out."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -63,7 +64,7 @@
         assert not self.simulation.invariants.broken
 
     def teardown(self) -> None:
-        """Healed, everything that is idle is returned, and whoever requests is granted again."""
+        """Without faults, idle shares are returned and new requests are granted up to the limit."""
         simulation = self.simulation
         simulation.random, simulation.loss_probability = Random(1), 0.0
         for gateway in simulation.gateways:
@@ -80,7 +81,7 @@
             assert limit.pool.granted() == simulation.limits[server] == len(simulation.sockets[server])
 
 
-def test_connections_stay_within_limits_under_drawn_faults() -> None:
+def test_connections_stay_within_limits_under_random_faults() -> None:
     run_state_machine(ConnectionsMachine, 12, 12)
 
 
@@ -105,15 +106,17 @@
     patch.setattr(ConnectionLeaseHolder, "closed", closed)
 
 
-def count_lease_from_the_answer(patch: pytest.MonkeyPatch) -> None:
+def start_lease_at_the_answer(patch: pytest.MonkeyPatch) -> None:
     answered = ConnectionLeaseHolder.answered
 
-    def late(self: ConnectionLeaseHolder, now: float, command: Command, result: Any) -> None:
+    def answered_with_late_start(
+        self: ConnectionLeaseHolder, now: float, command: Command, result: Any
+    ) -> None:
         if (pending := self._pending.get(command.key())) is not None:
             pending.first_sent_ms = now
         answered(self, now, command, result)
 
-    patch.setattr(ConnectionLeaseHolder, "answered", late)
+    patch.setattr(ConnectionLeaseHolder, "answered", answered_with_late_start)
 
 
 def ignore_idle_timeout(patch: pytest.MonkeyPatch) -> None:
@@ -146,7 +149,7 @@
     ("plant", "broken"),
     [
         pytest.param(count_closing_as_closed, Rule.CONNECTIONS_FIT, id="closing counts as closed"),
-        pytest.param(count_lease_from_the_answer, Rule.CONNECTIONS_FIT, id="lease counts from the answer"),
+        pytest.param(start_lease_at_the_answer, Rule.CONNECTIONS_FIT, id="lease starts at the answer"),
         pytest.param(ignore_idle_timeout, Rule.CONNECTIONS_FIT, id="idle timeout is ignored"),
         pytest.param(ignore_clock_drift, Rule.CONNECTIONS_FIT, id="clock drift is ignored"),
         pytest.param(open_beyond_the_target, Rule.OPEN_UNDER_LEASE, id="opened beyond what is leased"),
@@ -179,7 +182,7 @@
 
 
 def request(limits: ConnectionLimits, holder: str, lease_number: int, keep: int, wanted: int) -> Any:
-    """The answer to a first request, as plain data."""
+    """Apply a first request; returns its answer as plain data."""
     command = RequestConnectionLeases(
         id="r",
         holder=holder,
@@ -191,7 +194,7 @@
 
 
 def release_first(limits: ConnectionLimits, reported_by: str) -> Any:
-    """A later process states that FIRST is dead."""
+    """Apply the report of a later process that FIRST is dead."""
     command = ReleaseConnectionLeases(
         id="e",
         holder=FIRST,
@@ -209,7 +212,7 @@
     assert set_limit(limits, 5).error is None
 
 
-def test_a_first_request_is_told_the_leases_of_earlier_processes_on_its_machine() -> None:
+def test_the_answer_to_a_first_request_lists_leases_of_earlier_processes_on_its_machine() -> None:
     limits = limits_of_one_server(5)
     assert request(limits, FIRST, 0, 0, 4) == {"parts": [["a", 1, 4, 4, 1]], "old": []}
     assert request(limits, SECOND, 0, 0, 5) == {"parts": [["a", 2, 1, 3, 0]], "old": [[FIRST, "a", 1]]}
@@ -227,12 +230,12 @@
 @pytest.mark.parametrize(
     "lease", [pytest.param(["a"], id="too short"), pytest.param(["a", 1, 2], id="too long")]
 )
-def test_a_released_lease_is_a_server_and_a_number_and_nothing_else(lease: list[Any]) -> None:
+def test_a_lease_reference_of_the_wrong_length_is_rejected(lease: list[Any]) -> None:
     fields = {"id": "e", "holder": FIRST, "bucket": server_bucket("a"), "ends": [lease], "proof": "idle"}
     assert isinstance(parse_command("ConnEnd", fields), InvalidCall)
 
 
-def test_a_lowered_limit_takes_nothing_away_and_grants_nothing_until_enough_is_returned() -> None:
+def test_a_lowered_limit_revokes_nothing_and_grants_nothing_until_enough_is_returned() -> None:
     limits = limits_of_one_server(5)
     request(limits, FIRST, 0, 0, 4)
     request(limits, SECOND, 0, 0, 5)
@@ -256,7 +259,7 @@
 
 
 def exchange(now: float, holder: ConnectionLeaseHolder, limits: ConnectionLimits) -> int:
-    """Answer all that a holder sends now; gives the number of calls."""
+    """Apply all commands that a holder sends now; returns their number."""
     commands = holder.poll(now, now)
     for command in commands:
         holder.answered(now, command, limits.apply(now, command))
@@ -264,7 +267,7 @@
 
 
 def test_one_call_renews_all_leases_of_a_bucket() -> None:
-    """At 200 gateways that all use 120 servers, twenty times what is counted here."""
+    """With 200 gateways that all use 120 servers, the rate is twenty times the one counted here."""
     limits = ConnectionLimits(Invariants(), TIMINGS)
     servers = [f"10.0.0.{n}:7000" for n in range(120)]
     for server in servers:
@@ -297,6 +300,6 @@
     second.draining = True
     second.set_need("a", 0)
     assert exchange(MIN_REQUEST_INTERVAL_MS / 2, second, limits) == 1 and second.empty
-    second.set_need("a", 1)  # a query that comes late
+    second.set_need("a", 1)  # a query arrives during the drain
     assert exchange(MIN_REQUEST_INTERVAL_MS / 2 + 1, second, limits) == 1
     assert second.servers["a"].lease_number
--- a/tests/cluster/test_rolling_restart.py
+++ b/tests/cluster/test_rolling_restart.py
@@ -1,4 +1,4 @@
-"""Rolling restarts: gateways are restarted in waves, no step is taken twice, and none stays half drained."""
+"""Rolling restarts: gateways are restarted in waves, no event is applied twice, and no gateway stays half drained."""
 
 from __future__ import annotations
 
@@ -44,12 +44,12 @@
     RollingRestartSimulation,
 )
 
-# Under drawn faults
+# Under random faults
 # ----------------------------------------------------------------------------------------------------------
 
 
 class RollingRestartsMachine(RuleBasedStateMachine):
-    """Hypothesis chooses what happens, and shrinks it; all else is the simulation."""
+    """Hypothesis draws and shrinks the steps; the simulation carries them out."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -71,7 +71,7 @@
         self.simulation.run_to_the_end()
 
 
-def test_restarts_go_forward_and_leave_no_gateway_half_drained_under_drawn_faults() -> None:
+def test_restarts_go_forward_and_leave_no_gateway_half_drained_under_random_faults() -> None:
     run_state_machine(RollingRestartsMachine, 25, 15)
 
 
@@ -89,19 +89,23 @@
 
 
 def ignore_missing_copies(patch: pytest.MonkeyPatch) -> None:
-    def blind(*observed: Any) -> ClusterConditions:
+    def observe_no_missing_copies(*observed: Any) -> ClusterConditions:
         return msgspec.structs.replace(observe_conditions(*observed), missing_copies=0)
 
-    patch.setattr(scheduler, "observe_conditions", blind)
+    patch.setattr(scheduler, "observe_conditions", observe_no_missing_copies)
 
 
 def ignore_versions(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(RollingRestarts, "_is_current", lambda self, gateway, version: True)
     from_any_phase = dict(GATEWAY_TRANSITIONS)
-    for (_, event), after in GATEWAY_TRANSITIONS.items():
+    for (_, event), next_phase in GATEWAY_TRANSITIONS.items():
         if event is not GatewayEvent.CANCEL:
             from_any_phase.update(
-                {(phase, event): after for phase in GatewayPhase if (phase, event) not in GATEWAY_TRANSITIONS}
+                {
+                    (phase, event): next_phase
+                    for phase in GatewayPhase
+                    if (phase, event) not in GATEWAY_TRANSITIONS
+                }
             )
     for module in (plan, scheduler):
         patch.setattr(module, "GATEWAY_TRANSITIONS", from_any_phase)
@@ -184,26 +188,26 @@
         for phase in phases
     ],
 )
-def test_a_restart_ends_as_it_should_after_an_event_in_any_phase(
+def test_a_restart_ends_in_the_expected_state_after_an_event_in_any_phase(
     event: str, after_drain: str, phase: GatewayPhase
 ) -> None:
-    """It is cancelled, or loses its leader or the gateway, when the gateway g1 enters the phase."""
+    """The restart is cancelled, its leader changes, or gateway g1 dies or is cut off when g1 enters the phase."""
     simulation = RollingRestartSimulation(Random(0), loss_probability=0.0)
     simulation.start_restart(after_drain=after_drain)
-    happened_ms: list[float] = []
+    event_at_ms: list[float] = []
 
-    def let_it_happen() -> None:
+    def inject_event() -> None:
         restart = simulation.replicated.active
         if restart is None:
             return
-        if happened_ms:
-            if simulation.now - happened_ms[0] >= 3000.0:
+        if event_at_ms:
+            if simulation.now - event_at_ms[0] >= 3000.0:
                 simulation.gateways["g1"].cut_off = False
             return
         gateway = restart.gateways.get("g1")
         if gateway is None or gateway.phase is not phase:
             return
-        happened_ms.append(simulation.now)
+        event_at_ms.append(simulation.now)
         if "cancel" in event:
             simulation.cancel_active()
         if "leader" in event:
@@ -213,9 +217,9 @@
         if event == "gateway cut off":
             simulation.gateways["g1"].cut_off = True
 
-    simulation.before_step = let_it_happen
+    simulation.before_step = inject_event
     restart = simulation.run_to_the_end()
-    assert happened_ms and restart is not None
+    assert event_at_ms and restart is not None
     assert restart.state is (RestartState.CANCELLED if "cancel" in event else RestartState.DONE)
     assert all(count == 1 for count in simulation.drains.values())
     if "cancel" not in event:
@@ -235,7 +239,7 @@
     raise AssertionError(simulation.replicated.summaries())
 
 
-def test_a_restart_pauses_with_a_cause_and_goes_on_when_it_is_over() -> None:
+def test_a_restart_pauses_with_a_cause_and_continues_when_it_is_resolved() -> None:
     simulation = RollingRestartSimulation(Random(0), loss_probability=0.0)
     simulation.gateways["g1"].stuck = True
     simulation.start_restart()
@@ -272,18 +276,18 @@
 
 
 def test_a_copy_of_an_earlier_incarnation_is_missing() -> None:
-    """A machine that lost its disk and was back at once passed for whole until a leader had reported it."""
+    """A member that lost its disk and restarted at once counted as complete until a leader reported it."""
     restart = RollingRestart(
         "r", StartRollingRestart(id="1", restart="r"), gateways={"g0": GatewayProgress()}
     )
-    for alive, problem in (
+    for alive, expected in (
         (("g0/1", "g1/1", "g2/1"), None),
         (("g0/1", "g1/1", "g2/2"), "copies not whole: 1 missing"),
     ):
         view = leader_view(0.0, 0.0, alive=frozenset(alive), zones=ONE_ZONE, groups=VOTERS)
-        found = observe_conditions(view, restart, ["g0"]).validate()
-        assert (found and found[1]) == problem
-    # One that loses its disk while it is drained has no copies to leave behind; one that has ended has.
+        problem_found = observe_conditions(view, restart, ["g0"]).validate()
+        assert (problem_found and problem_found[1]) == expected
+    # Copies of a drained gateway that lost its disk are missing; those of one that was ended for the restart are not.
     view = leader_view(
         0.0,
         0.0,
@@ -296,8 +300,8 @@
         assert observe_conditions(view, restart, ()).missing_copies == missing
 
 
-def test_two_gateways_of_a_wave_that_come_to_share_a_group_end_one_after_the_other() -> None:
-    """A copy was made again at one of them while both were drained: neither could end, for good."""
+def test_two_gateways_of_a_wave_that_share_a_new_group_end_one_after_the_other() -> None:
+    """Repair placed a copy on one of them while both were drained; then neither could ever end."""
     restarts = RollingRestarts(Invariants())
     restarts.restarts["r"] = restart = RollingRestart(
         "r",
@@ -312,7 +316,7 @@
     (event,) = restarts.leader_tasks(view)
     assert restarts.apply(0.0, event).error is None
     assert restart.gateways["g0"].phase is GatewayPhase.ACTING
-    assert isinstance(restarts.apply(0.0, stale).error, WrongState)  # observed before the other ended
+    assert isinstance(restarts.apply(0.0, stale).error, WrongState)  # observed before g0 ended
     assert not [task for task in restarts.leader_tasks(view) if isinstance(task, RecordGatewayEvent)]
     restart.gateways["g0"].phase = GatewayPhase.WARMING
     assert [
