--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -1,7 +1,7 @@
-"""What other tests and the drawn fleets did not find when it was planted; and what the code itself still lets
-through.
+"""Regression tests for faults that the other tests and the random simulations missed when they were planted, and for
+faults that the code itself had.
 
-`docs/design/planted-faults.md` has the table.
+`docs/design/planted-faults.md` lists the planted faults.
 """
 
 from __future__ import annotations
@@ -147,7 +147,7 @@
 )
 from badgeryoke.cluster.rolling_restart.observation import observe_conditions
 from badgeryoke.cluster.rolling_restart.scheduler import GROWTH_MARGIN_MS
-from badgeryoke.cluster.rolling_restart.transitions import RestartState as RollState
+from badgeryoke.cluster.rolling_restart.transitions import RestartState
 from badgeryoke.cluster.rolling_restart.waves import RollingRestarts
 from badgeryoke.cluster.state_machine import remembered_answers
 from badgeryoke.cluster.state_machine.command_registry import decode_command, encode_command
@@ -175,31 +175,31 @@
 from tests.support.storage import entries, open_existing, write_records
 from tests.support.transport import PING, SHORT_TIMEOUTS, connected_pair, run_with_timeout
 
-EMPTY = msgspec.msgpack.encode([])
+EMPTY_SNAPSHOT_BODY = msgspec.msgpack.encode([])
 
 
 def entry(index: int, term: int, body: bytes = b"x", kind: int = EntryKind.COMMAND) -> LogEntry:
     return LogEntry(index, term, kind, body)
 
 
-def copy(term: int, *terms: int, vote: str = "") -> tuple[RaftNode, RecordingStateMachine]:
-    """a/1 of three, with entries of these terms; nothing is known as committed."""
+def replica_with_entries(term: int, *terms: int, vote: str = "") -> tuple[RaftNode, RecordingStateMachine]:
+    """Replica a/1 of three with log entries of these terms, none of them known to be committed."""
     return single_replica(
         PersistedGroup(
             term,
             vote,
-            Snapshot(0, 0, THREE_VOTERS, EMPTY),
-            tuple(entry(at, one) for at, one in enumerate(terms, 1)),
+            Snapshot(0, 0, THREE_VOTERS, EMPTY_SNAPSHOT_BODY),
+            tuple(entry(index, entry_term) for index, entry_term in enumerate(terms, 1)),
         )
     )
 
 
-def leading(term: int, *terms: int) -> tuple[RaftNode, RecordingStateMachine]:
-    """The same as the leader of `term`, which only itself has an entry of yet."""
-    replica, machine = copy(term - 1, *terms)
+def leader_with_entries(term: int, *terms: int) -> tuple[RaftNode, RecordingStateMachine]:
+    """The same replica as the leader of `term`; no other replica has its first entry yet."""
+    replica, machine = replica_with_entries(term - 1, *terms)
     replica.handle(replica.due_ms, Tick())
-    made = replica.handle(2000.0, MessageReceived("b/1", RequestVoteReply("g", term, True, True)))
-    persist_writes(replica, 2000.0, made)
+    effects = replica.handle(2000.0, MessageReceived("b/1", RequestVoteReply("g", term, True, True)))
+    persist_writes(replica, 2000.0, effects)
     persist_writes(
         replica,
         2000.0,
@@ -209,159 +209,168 @@
     return replica, machine
 
 
-def match(replica: RaftNode, who: str) -> int:
-    return int(replica.status(0.0)["members"][who]["match"])
+def match_index(replica: RaftNode, member: str) -> int:
+    return int(replica.status(0.0)["members"][member]["match"])
 
 
 # Votes
-# ----------------------------------------------------------------------------------------------------------------
+# ----------------------------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("pre", [True, False])
+@pytest.mark.parametrize("pre_vote", [True, False])
 @pytest.mark.parametrize(
     ("last_index", "last_term", "granted"),
     [
-        (9, 2, False),  # longer, of an older term
-        (1, 3, False),  # of the same term, shorter
+        (9, 2, False),  # longer log, older last term
+        (1, 3, False),  # shorter log, same last term
         (2, 3, True),
-        (1, 4, True),  # shorter, of a later term
+        (1, 4, True),  # shorter log, later last term
     ],
 )
-def test_a_vote_goes_by_the_last_term_and_then_by_length(
-    pre: bool, last_index: int, last_term: int, granted: bool
+def test_a_vote_is_granted_by_last_term_and_then_by_log_length(
+    pre_vote: bool, last_index: int, last_term: int, granted: bool
 ) -> None:
-    replica, _ = copy(4, 1, 3)
-    made = replica.handle(5000.0, MessageReceived("b/1", RequestVote("g", 5, last_index, last_term, pre)))
-    votes = sent_messages(made + persist_writes(replica, 5000.0, made), RequestVoteReply)
+    replica, _ = replica_with_entries(4, 1, 3)
+    effects = replica.handle(
+        5000.0, MessageReceived("b/1", RequestVote("g", 5, last_index, last_term, pre_vote))
+    )
+    votes = sent_messages(effects + persist_writes(replica, 5000.0, effects), RequestVoteReply)
     assert [vote.vote_granted for vote in votes] == [granted]
 
 
-def test_a_vote_of_an_older_term_elects_nobody() -> None:
-    replica, _ = copy(4, 1)
-    for _ in range(2):  # it stands twice, and has no vote but its own
+def test_a_vote_of_an_older_term_is_not_counted() -> None:
+    replica, _ = replica_with_entries(4, 1)
+    for _ in range(2):  # two elections in which only its own vote is granted
         replica.handle(replica.due_ms, Tick())
-        made = replica.handle(
+        effects = replica.handle(
             replica.due_ms - 1.0,
             MessageReceived("b/1", RequestVoteReply("g", replica.current_term + 1, True, True)),
         )
-        persist_writes(replica, replica.due_ms - 1.0, made)
+        persist_writes(replica, replica.due_ms - 1.0, effects)
     assert replica.role is Role.CANDIDATE and replica.current_term == 6
     replica.handle(replica.due_ms - 1.0, MessageReceived("c/1", RequestVoteReply("g", 5, True, False)))
     assert replica.role is Role.CANDIDATE
 
 
-def test_what_waited_for_the_store_is_not_told_in_a_later_term() -> None:
-    replica, _ = copy(4, 1)
-    held = replica.handle(5000.0, MessageReceived("b/1", RequestVote("g", 5, 9, 9, False)))
-    later = replica.handle(5001.0, MessageReceived("c/1", AppendEntries("g", 6, 1, 1, (), 0, 1)))
-    told = persist_writes(replica, 5002.0, held + later)
-    assert replica.current_term == 6 and not sent_messages(told, RequestVoteReply)
+def test_a_vote_withheld_until_stored_is_not_sent_in_a_later_term() -> None:
+    replica, _ = replica_with_entries(4, 1)
+    vote_effects = replica.handle(5000.0, MessageReceived("b/1", RequestVote("g", 5, 9, 9, False)))
+    append_effects = replica.handle(5001.0, MessageReceived("c/1", AppendEntries("g", 6, 1, 1, (), 0, 1)))
+    later_effects = persist_writes(replica, 5002.0, vote_effects + append_effects)
+    assert replica.current_term == 6 and not sent_messages(later_effects, RequestVoteReply)
 
 
-def test_a_late_word_to_stand_is_not_heeded() -> None:
-    replica, _ = copy(4, 1)
+def test_a_stale_timeout_now_is_ignored() -> None:
+    replica, _ = replica_with_entries(4, 1)
     replica.handle(10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (), 0, 1)))
-    for who, term in (("b/1", 4), ("c/1", 5)):
-        replica.handle(11.0, MessageReceived(who, TimeoutNow("g", term)))
+    for member, term in (("b/1", 4), ("c/1", 5)):
+        replica.handle(11.0, MessageReceived(member, TimeoutNow("g", term)))
         assert replica.role is Role.FOLLOWER and replica.current_term == 5
     replica.handle(12.0, MessageReceived("b/1", TimeoutNow("g", 5)))
     assert replica.role is Role.CANDIDATE
 
 
 # Answers to a leader
-# ---------------------------------------------------------------------------------------------------
+# ----------------------------------------------------------------------------------------------------------
 
 
-def test_a_leader_believes_only_answers_that_can_be_meant_for_it() -> None:
-    replica, machine = leading(5, 1, 1, 1)
+def test_a_leader_ignores_append_replies_of_another_term_or_beyond_its_log() -> None:
+    replica, machine = leader_with_entries(5, 1, 1, 1)
     replica.handle(2001.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 3, 1)))
-    assert match(replica, "b/1") == 3
+    assert match_index(replica, "b/1") == 3
     replica.handle(2002.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 2, 1)))
-    assert match(replica, "b/1") == 3  # a late one takes nothing back
-    for wrong in (
-        AppendEntriesReply("g", 4, True, 4, 1),  # of a term before
+    assert match_index(replica, "b/1") == 3  # a stale reply does not lower the match index
+    for invalid_reply in (
+        AppendEntriesReply("g", 4, True, 4, 1),  # of an earlier term
         AppendEntriesReply("g", 5, True, 9, 1),  # beyond the log
         AppendEntriesReply("g", 5, True, 4, 99),
-    ):  # to a round that never began
-        replica.handle(2003.0, MessageReceived("c/1", wrong))
-        assert match(replica, "c/1") == 0 and replica.commit_index == 0 and not machine.rows
+    ):  # the last one is for a round that never began
+        replica.handle(2003.0, MessageReceived("c/1", invalid_reply))
+        assert match_index(replica, "c/1") == 0 and replica.commit_index == 0 and not machine.rows
     replica.handle(2004.0, MessageReceived("c/1", AppendEntriesReply("g", 5, True, 4, 1)))
     assert replica.commit_index == 4
 
 
-def test_a_round_that_never_began_answers_no_read() -> None:
-    replica, _ = leading(5, 1)
+def test_a_reply_to_a_round_that_never_began_confirms_no_read() -> None:
+    replica, _ = leader_with_entries(5, 1)
     replica.handle(2001.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 2, 1)))
     assert replica.leading
-    made = replica.handle(2002.0, ReadIndexRequest("r"))
-    for told in (
+    effects = replica.handle(2002.0, ReadIndexRequest("r"))
+    for stale_reply in (
         AppendEntriesReply("g", 5, True, 2, 99),
         AppendEntriesReply("g", 4, True, 2, 2),
         AppendEntriesReply("g", 5, True, 2, 1),
     ):
-        made += replica.handle(2003.0, MessageReceived("b/1", told))
-    assert not [one for one in made if isinstance(one, OperationCompleted)]
-    made = replica.handle(2004.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 2, 2)))
-    assert [one for one in made if isinstance(one, OperationCompleted)] == [OperationCompleted("r", None)]
+        effects += replica.handle(2003.0, MessageReceived("b/1", stale_reply))
+    assert not [effect for effect in effects if isinstance(effect, OperationCompleted)]
+    effects = replica.handle(2004.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 2, 2)))
+    assert [effect for effect in effects if isinstance(effect, OperationCompleted)] == [
+        OperationCompleted("r", None)
+    ]
 
 
-def test_members_change_only_behind_an_entry_of_the_leaders_own_term() -> None:
-    replica, _ = leading(5, 1)
-    made = replica.handle(2001.0, ChangeMembership("t", MembershipAction.LEARN, "d/1"))
-    assert [type(one.result) for one in made if isinstance(one, OperationCompleted)] == [WrongState]
+def test_members_change_only_after_an_entry_of_the_leaders_own_term_is_committed() -> None:
+    replica, _ = leader_with_entries(5, 1)
+    effects = replica.handle(2001.0, ChangeMembership("t", MembershipAction.LEARN, "d/1"))
+    assert [type(effect.result) for effect in effects if isinstance(effect, OperationCompleted)] == [
+        WrongState
+    ]
     assert replica.config == THREE_VOTERS
 
 
-def test_the_lead_goes_to_nobody_who_lacks_an_entry() -> None:
-    replica, _ = leading(5, 1)
-    made = replica.handle(2001.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 2, 1)))
-    made += replica.handle(2002.0, ProposeCommand("p", b"p"))
-    made += replica.handle(2003.0, TransferLeadership("b/1"))
-    persist_writes(replica, 2003.0, made)
-    assert not sent_messages(made, TimeoutNow)
+def test_leadership_is_not_transferred_to_a_follower_that_lacks_an_entry() -> None:
+    replica, _ = leader_with_entries(5, 1)
+    effects = replica.handle(2001.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 2, 1)))
+    effects += replica.handle(2002.0, ProposeCommand("p", b"p"))
+    effects += replica.handle(2003.0, TransferLeadership("b/1"))
+    persist_writes(replica, 2003.0, effects)
+    assert not sent_messages(effects, TimeoutNow)
     assert isinstance(replica.handle(2004.0, ProposeCommand("q", b"q"))[-1].result, NoLeader)  # type: ignore[union-attr]
-    made = replica.handle(2005.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 3, 1)))
-    assert sent_messages(made, TimeoutNow) == [TimeoutNow("g", 5)]
+    effects = replica.handle(2005.0, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 3, 1)))
+    assert sent_messages(effects, TimeoutNow) == [TimeoutNow("g", 5)]
 
 
-# What a follower takes
-# ------------------------------------------------------------------------------------------------
+# Entries and snapshots on a follower
+# ----------------------------------------------------------------------------------------------------------
 
 
 def test_a_follower_commits_only_what_matches_the_leaders_log() -> None:
-    replica, machine = copy(4, 1, 2, 2)
+    replica, machine = replica_with_entries(4, 1, 2, 2)
     replica.handle(10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (), 3, 1)))
     assert replica.commit_index == 1 and machine.rows == [(1, b"x")]
 
 
-def test_what_was_cut_off_does_not_count_as_stored() -> None:
-    """Entries 2 and 3 were stored, and are cut; the new 2 and 3 are acknowledged when they are stored, not
-    before."""
-    replica, _ = copy(4, 1, 2, 2)
-    made = replica.handle(
+def test_truncated_entries_do_not_count_as_stored() -> None:
+    """Entries 2 and 3 were stored and are truncated; the new entries 2 and 3 are acknowledged only once they are
+    stored."""
+    replica, _ = replica_with_entries(4, 1, 2, 2)
+    effects = replica.handle(
         10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (entry(2, 5), entry(3, 5)), 0, 1))
     )
-    assert [one.index for one in sent_messages(made, AppendEntriesReply)] == [1]
-    assert 3 in [one.index for one in sent_messages(persist_writes(replica, 11.0, made), AppendEntriesReply)]
+    assert [reply.index for reply in sent_messages(effects, AppendEntriesReply)] == [1]
+    assert 3 in [
+        reply.index for reply in sent_messages(persist_writes(replica, 11.0, effects), AppendEntriesReply)
+    ]
 
 
-def test_a_store_under_way_makes_nothing_safe_that_was_cut_meanwhile() -> None:
-    replica, _ = copy(4, 1)
-    first = replica.handle(
+def test_a_pending_write_does_not_acknowledge_entries_truncated_meanwhile() -> None:
+    replica, _ = replica_with_entries(4, 1)
+    first_effects = replica.handle(
         10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (entry(2, 5), entry(3, 5)), 0, 1))
     )
-    second = replica.handle(
+    second_effects = replica.handle(
         11.0, MessageReceived("c/1", AppendEntries("g", 6, 1, 1, (entry(2, 6), entry(3, 6)), 0, 1))
     )
-    told = persist_writes(replica, 12.0, first)
-    told += replica.handle(13.0, MessageReceived("c/1", AppendEntries("g", 6, 3, 6, (), 0, 2)))
-    assert max((one.index for one in sent_messages(told, AppendEntriesReply)), default=0) <= 1
+    effects = persist_writes(replica, 12.0, first_effects)
+    effects += replica.handle(13.0, MessageReceived("c/1", AppendEntries("g", 6, 3, 6, (), 0, 2)))
+    assert max((reply.index for reply in sent_messages(effects, AppendEntriesReply)), default=0) <= 1
     assert 3 in [
-        one.index for one in sent_messages(persist_writes(replica, 14.0, second), AppendEntriesReply)
+        reply.index
+        for reply in sent_messages(persist_writes(replica, 14.0, second_effects), AppendEntriesReply)
     ]
 
 
-def pieces(
+def snapshot_chunks(
     index: int, index_term: int, body: bytes, config: GroupConfiguration = THREE_VOTERS
 ) -> Callable[..., InstallSnapshotChunk]:
     return lambda term, offset, size: InstallSnapshotChunk(
@@ -369,51 +378,56 @@
     )
 
 
-def test_a_snapshot_takes_a_tail_away_that_does_not_go_on_from_it() -> None:
-    """Its entry 3 is of another term: what lies behind is another leader's, stored or not."""
-    replica, machine = copy(4, 1, 2, 2, 2)
+def test_a_snapshot_removes_a_log_tail_that_conflicts_with_it() -> None:
+    """The log's entry 3 is of another term than the snapshot's, so entries after it came from another leader and are
+    removed, stored or not."""
+    replica, machine = replica_with_entries(4, 1, 2, 2, 2)
     body = msgspec.msgpack.encode([(1, b"x"), (2, b"y"), (3, b"z")])
-    made = replica.handle(10.0, MessageReceived("b/1", pieces(3, 5, body)(6, 0, 99)))
+    effects = replica.handle(10.0, MessageReceived("b/1", snapshot_chunks(3, 5, body)(6, 0, 99)))
     assert (replica.last_log_index, replica.commit_index, machine.rows[-1]) == (3, 3, (3, b"z"))
-    assert not [
-        one for one in sent_messages(made, AppendEntriesReply) if one.index
-    ]  # neither stored nor told
-    assert 3 in [one.index for one in sent_messages(persist_writes(replica, 11.0, made), AppendEntriesReply)]
+    # Nothing is acknowledged before it is stored.
+    assert not [reply for reply in sent_messages(effects, AppendEntriesReply) if reply.index]
+    assert 3 in [
+        reply.index for reply in sent_messages(persist_writes(replica, 11.0, effects), AppendEntriesReply)
+    ]
 
 
 @pytest.mark.parametrize(
-    "other",
+    "other_chunk",
     [
-        lambda: MessageReceived("c/1", pieces(3, 5, b"zzzzzzzzzz")(6, 0, 3)),  # another leader's, as long
-        # of the same member in a later term
-        lambda: MessageReceived("b/1", pieces(3, 5, b"zzzzzzzzzz")(6, 0, 3)),
-        # a later one of the same leader
-        lambda: MessageReceived("b/1", pieces(4, 5, b"zzzzzzzzzz")(5, 0, 3)),
+        # of another leader, of the same size
+        lambda: MessageReceived("c/1", snapshot_chunks(3, 5, b"zzzzzzzzzz")(6, 0, 3)),
+        # of the same leader in a later term
+        lambda: MessageReceived("b/1", snapshot_chunks(3, 5, b"zzzzzzzzzz")(6, 0, 3)),
+        # a later snapshot of the same leader
+        lambda: MessageReceived("b/1", snapshot_chunks(4, 5, b"zzzzzzzzzz")(5, 0, 3)),
     ],
 )
-def test_pieces_of_two_snapshots_are_not_put_together(other: Callable[[], MessageReceived]) -> None:
-    replica, _ = copy(4, 1)
-    first = pieces(3, 5, b"yyyyyyyyyy")
+def test_chunks_of_two_snapshots_are_not_combined(other_chunk: Callable[[], MessageReceived]) -> None:
+    replica, _ = replica_with_entries(4, 1)
+    first_snapshot = snapshot_chunks(3, 5, b"yyyyyyyyyy")
     assert (
         sent_messages(
-            replica.handle(10.0, MessageReceived("b/1", first(5, 0, 4))), InstallSnapshotChunkReply
+            replica.handle(10.0, MessageReceived("b/1", first_snapshot(5, 0, 4))), InstallSnapshotChunkReply
         )[0].received_bytes
         == 4
     )
-    assert sent_messages(replica.handle(11.0, other()), InstallSnapshotChunkReply)[0].received_bytes == 3
+    assert (
+        sent_messages(replica.handle(11.0, other_chunk()), InstallSnapshotChunkReply)[0].received_bytes == 3
+    )
 
 
-def test_a_snapshot_bears_the_members_and_the_term_of_its_last_entry() -> None:
-    """The entry of a change lies in the log behind it, and is not committed; the present term is a later
-    one."""
+def test_a_snapshot_has_the_members_and_the_term_of_its_last_entry() -> None:
+    """The log after the snapshot has an uncommitted membership change, and the present term is later than the
+    snapshot's."""
     count = TIMINGS.snapshot_entries
     terms = [1] * count
     saved = PersistedGroup(
         4,
         "",
-        Snapshot(0, 0, THREE_VOTERS, EMPTY),
+        Snapshot(0, 0, THREE_VOTERS, EMPTY_SNAPSHOT_BODY),
         (
-            *(entry(at, one) for at, one in enumerate(terms, 1)),
+            *(entry(index, entry_term) for index, entry_term in enumerate(terms, 1)),
             entry(
                 count + 1,
                 2,
@@ -423,217 +437,241 @@
         ),
     )
     replica, _ = single_replica(saved)
-    made = replica.handle(10.0, MessageReceived("b/1", AppendEntries("g", 5, count + 1, 2, (), count, 1)))
-    shots = [
+    effects = replica.handle(10.0, MessageReceived("b/1", AppendEntries("g", 5, count + 1, 2, (), count, 1)))
+    snapshots = [
         record
-        for one in made
-        if isinstance(one, PersistRecords)
-        for record in one.records
+        for effect in effects
+        if isinstance(effect, PersistRecords)
+        for record in effect.records
         if isinstance(record, Snapshot)
     ]
-    assert [(shot.last_included_index, shot.last_included_term, shot.config) for shot in shots] == [
-        (count, 1, THREE_VOTERS)
-    ]
+    assert [
+        (snapshot.last_included_index, snapshot.last_included_term, snapshot.config) for snapshot in snapshots
+    ] == [(count, 1, THREE_VOTERS)]
 
 
-def test_a_log_is_loaded_without_entries_that_a_snapshot_overtook() -> None:
-    saved = PersistedGroup(5, "", Snapshot(3, 4, THREE_VOTERS, EMPTY), (entry(4, 2), entry(5, 2)))
+def test_a_log_is_loaded_without_entries_that_a_snapshot_superseded() -> None:
+    saved = PersistedGroup(
+        5, "", Snapshot(3, 4, THREE_VOTERS, EMPTY_SNAPSHOT_BODY), (entry(4, 2), entry(5, 2))
+    )
     assert RaftLog.load(saved).last_index == 3
 
 
-def test_a_batch_is_bounded_in_bytes_and_a_refusal_points_behind_what_is_committed() -> None:
-    log = RaftLog(0, 0, THREE_VOTERS, tuple(entry(at, 1, b"x" * 100) for at in range(1, 9)))
+def test_an_append_batch_is_bounded_in_bytes_and_a_conflict_index_is_above_committed_entries() -> None:
+    log = RaftLog(0, 0, THREE_VOTERS, tuple(entry(index, 1, b"x" * 100) for index in range(1, 9)))
     assert len(log.entries_from(1, 8, 250)) == 2 and len(log.entries_from(1, 8, 10)) == 1
     assert log.first_of_term(8, 5) == 5
 
 
-def test_a_long_body_is_refused_and_what_waits_for_the_store_is_bounded() -> None:
-    replica, _ = leading(5, 1)
-    made = replica.handle(2001.0, ProposeCommand("p", b"x" * (MAX_COMMAND_BYTES + 1)))
-    assert [type(one.result) for one in made if isinstance(one, OperationCompleted)] == [InvalidCall]
-    follower, _ = copy(4, 1)
+def test_a_long_command_is_rejected_and_withheld_messages_are_bounded() -> None:
+    replica, _ = leader_with_entries(5, 1)
+    effects = replica.handle(2001.0, ProposeCommand("p", b"x" * (MAX_COMMAND_BYTES + 1)))
+    assert [type(effect.result) for effect in effects if isinstance(effect, OperationCompleted)] == [
+        InvalidCall
+    ]
+    follower, _ = replica_with_entries(4, 1)
     follower.handle(10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (entry(2, 5),), 0, 1)))
-    for round_ in range(2, MAX_WITHHELD_MESSAGES + 10):
-        follower.handle(10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (entry(2, 5),), 0, round_)))
+    for round_number in range(2, MAX_WITHHELD_MESSAGES + 10):
+        follower.handle(
+            10.0, MessageReceived("b/1", AppendEntries("g", 5, 1, 1, (entry(2, 5),), 0, round_number))
+        )
     assert len(follower._withheld_messages) == MAX_WITHHELD_MESSAGES
 
 
-# Who lives, how a fleet is formed, where its copies are
-# ----------------------------------------------------------------
+# Membership, bootstrap and placement
+# ----------------------------------------------------------------------------------------------------------
 
 
-def watcher() -> Membership:
+def member_a() -> Membership:
     return Membership("a/1", "x", [Member(name, "x") for name in "abc"], Timings(), Random(1), 0.0)
 
 
 def test_messages_of_a_superseded_incarnation_are_ignored() -> None:
-    me = watcher()
-    for who in ("c/1", "b/1", "b/2"):
-        me.handle(10.0, MessageReceived(who, Ping(1, "a/1", ())))
-    out = me.handle(11.0, MessageReceived("b/1", Ping(2, "a/1", (GossipUpdate("c/1", MemberState.DEAD, 0),))))
-    assert not [one for one in out if isinstance(one, SendMessage)]
-    assert me.ids()["b"] == "b/2" and me.state_of("c") == "alive"
-    me.handle(12.0, MessageReceived("b/2", Ping(3, "a/1", (GossipUpdate("c/1", MemberState.DEAD, 0),))))
-    assert me.state_of("c") == "dead"  # at the count that is known as well
+    membership = member_a()
+    for member in ("c/1", "b/1", "b/2"):
+        membership.handle(10.0, MessageReceived(member, Ping(1, "a/1", ())))
+    effects = membership.handle(
+        11.0, MessageReceived("b/1", Ping(2, "a/1", (GossipUpdate("c/1", MemberState.DEAD, 0),)))
+    )
+    assert not [effect for effect in effects if isinstance(effect, SendMessage)]
+    assert membership.ids()["b"] == "b/2" and membership.state_of("c") == "alive"
+    membership.handle(
+        12.0, MessageReceived("b/2", Ping(3, "a/1", (GossipUpdate("c/1", MemberState.DEAD, 0),)))
+    )
+    assert membership.state_of("c") == "dead"  # also with the incarnation count that is known
 
 
 def test_a_suspect_that_answers_pings_is_not_declared_dead_and_local_health_recovers() -> None:
-    me = watcher()
-    for who in ("b/1", "c/1"):
-        me.handle(10.0, MessageReceived(who, Ping(1, "a/1", ())))
-    me.handle(
+    membership = member_a()
+    for member in ("b/1", "c/1"):
+        membership.handle(10.0, MessageReceived(member, Ping(1, "a/1", ())))
+    membership.handle(
         11.0, MessageReceived("c/1", Ping(2, "a/1", (GossipUpdate("b/1", MemberState.SUSPECTED, 0, "c/1"),)))
     )
-    me.local_health.score = 3
+    membership.local_health.score = 3
     now = 11.0
     while now < 60_000.0:
-        now = me.due
-        for one in me.handle(now, Tick()):
-            if isinstance(one, SendMessage) and isinstance(one.message, Ping) and one.to in ("b/1", "c/1"):
-                me.handle(now, MessageReceived(one.to, Ack(one.message.seq, one.to, ())))
-    assert me.state_of("b") == "suspected" and me.local_health.score == 0
+        now = membership.due
+        for effect in membership.handle(now, Tick()):
+            if (
+                isinstance(effect, SendMessage)
+                and isinstance(effect.message, Ping)
+                and effect.to in ("b/1", "c/1")
+            ):
+                membership.handle(now, MessageReceived(effect.to, Ack(effect.message.seq, effect.to, ())))
+    assert membership.state_of("b") == "suspected" and membership.local_health.score == 0
 
 
-YARD = NodeSetup("yard", "b", "1", tuple(Member(name, "x") for name in "abc"))
-FOUNDED = BootstrapRecord("yard", "01", "a/1", tuple((f"{name}/1", "x") for name in "abc"), 8, 3)
+NODE_SETUP = NodeSetup("yard", "b", "1", tuple(Member(name, "x") for name in "abc"))
+BOOTSTRAP_RECORD = BootstrapRecord("yard", "01", "a/1", tuple((f"{name}/1", "x") for name in "abc"), 8, 3)
 
 
 def test_a_member_whose_bootstrap_record_is_not_stored_yet_answers_no_query() -> None:
-    node = Bootstrap(YARD, PersistedGroup(), Random(1), 0.0)
+    bootstrap = Bootstrap(NODE_SETUP, PersistedGroup(), Random(1), 0.0)
     assert [
-        type(one)
-        for one in node.handle(1.0, MessageReceived("a/1", ClusterFounded(msgspec.msgpack.encode(FOUNDED))))
+        type(effect)
+        for effect in bootstrap.handle(
+            1.0, MessageReceived("a/1", ClusterFounded(msgspec.msgpack.encode(BOOTSTRAP_RECORD)))
+        )
     ] == [PersistRecords]
-    assert node.handle(2.0, MessageReceived("c/1", IdentityQuery("x"))) == [] and node.record is None
-    node.handle(3.0, RecordsPersisted(BOOTSTRAP_GROUP, 1))
-    assert node.handle(4.0, MessageReceived("c/1", IdentityQuery("x"))) == [
-        SendMessage("c/1", Announce("x", msgspec.msgpack.encode(FOUNDED)))
+    assert (
+        bootstrap.handle(2.0, MessageReceived("c/1", IdentityQuery("x"))) == [] and bootstrap.record is None
+    )
+    bootstrap.handle(3.0, RecordsPersisted(BOOTSTRAP_GROUP, 1))
+    assert bootstrap.handle(4.0, MessageReceived("c/1", IdentityQuery("x"))) == [
+        SendMessage("c/1", Announce("x", msgspec.msgpack.encode(BOOTSTRAP_RECORD)))
     ]
-    other = msgspec.msgpack.encode(msgspec.structs.replace(FOUNDED, bootstrap_id="02"))
-    said = node.handle(5.0, MessageReceived("a/2", ClusterFounded(other)))
-    assert [one.fields["error"] for one in said if isinstance(one, LogEvent)] == ["another-fleet"]
+    other_record = msgspec.msgpack.encode(msgspec.structs.replace(BOOTSTRAP_RECORD, bootstrap_id="02"))
+    effects = bootstrap.handle(5.0, MessageReceived("a/2", ClusterFounded(other_record)))
+    assert [effect.fields["error"] for effect in effects if isinstance(effect, LogEvent)] == ["another-fleet"]
 
 
 def test_a_bootstrap_promise_is_never_given_to_an_earlier_creator() -> None:
-    node = Bootstrap(YARD, PersistedGroup(), Random(1), 0.0)
-    for who in ("a/1", "a/2"):
-        assert [type(one) for one in node.handle(1.0, MessageReceived(who, IdentityQuery("x")))] == [
-            PersistRecords
-        ]
-    assert node.handle(2.0, MessageReceived("a/1", IdentityQuery("x"))) == []
+    bootstrap = Bootstrap(NODE_SETUP, PersistedGroup(), Random(1), 0.0)
+    for creator in ("a/1", "a/2"):
+        assert [
+            type(effect) for effect in bootstrap.handle(1.0, MessageReceived(creator, IdentityQuery("x")))
+        ] == [PersistRecords]
+    assert bootstrap.handle(2.0, MessageReceived("a/1", IdentityQuery("x"))) == []
 
 
-def placing(halls: str = "aaaaa", groups: int = 2) -> PlacementDirectory:
-    made = PlacementDirectory(Timings(), Invariants())
-    made.initialize(
+def placement_directory(zones: str = "aaaaa", groups: int = 2) -> PlacementDirectory:
+    directory = PlacementDirectory(Timings(), Invariants())
+    directory.initialize(
         BootstrapRecord(
-            "yard", "01", "m0/1", tuple((f"m{at}/1", hall) for at, hall in enumerate(halls)), groups, 3
+            "yard", "01", "m0/1", tuple((f"m{index}/1", zone) for index, zone in enumerate(zones)), groups, 3
         )
     )
-    return made
+    return directory
 
 
-def moving() -> tuple[PlacementDirectory, str, str]:
-    """A move of g0 is under way; gives who goes and who comes."""
-    made = placing()
-    voters = made.groups["g0"].voters
-    new = next(who for who, _ in made.members.values() if who not in voters)
-    assert made.apply(0.0, ReplaceReplica(id="1", group="g0", lost=voters[0], new=new, most=2)).error is None
-    return made, voters[0], new
+def directory_with_move() -> tuple[PlacementDirectory, str, str]:
+    """A directory with a move of g0 in progress, the member to remove and its replacement."""
+    directory = placement_directory()
+    voters = directory.groups["g0"].voters
+    replacement = next(member for member, _ in directory.members.values() if member not in voters)
+    assert (
+        directory.apply(
+            0.0, ReplaceReplica(id="1", group="g0", lost=voters[0], new=replacement, most=2)
+        ).error
+        is None
+    )
+    return directory, voters[0], replacement
 
 
 def test_a_replica_is_removed_once_its_replacement_votes() -> None:
-    made, lost, new = moving()
-    alive = frozenset(who for who, _ in made.members.values())
-    config = GroupConfiguration(made.groups["g0"].voters)
-    acts = []
-    while (change := made.next_membership_change("g0", config, (), alive)) is not None:
-        acts.append(change.action)
+    directory, lost, replacement = directory_with_move()
+    alive = frozenset(member for member, _ in directory.members.values())
+    config = GroupConfiguration(directory.groups["g0"].voters)
+    actions = []
+    while (change := directory.next_membership_change("g0", config, (), alive)) is not None:
+        actions.append(change.action)
         config = {
-            "learn": GroupConfiguration(config.voters, (new,)),
-            "promote": GroupConfiguration((*config.voters, new)),
-            "remove": GroupConfiguration(tuple(who for who in config.voters if who != lost)),
+            "learn": GroupConfiguration(config.voters, (replacement,)),
+            "promote": GroupConfiguration((*config.voters, replacement)),
+            "remove": GroupConfiguration(tuple(member for member in config.voters if member != lost)),
         }[change.action]
-    assert acts == ["learn", "promote", "remove"]
-    gone = tuple(who for who in made.groups["g0"].voters if who != lost)
-    made.apply(0.0, ReplicaMoved(id="2", group="g0", voters=gone, number=1))
-    assert "g0" in made.moves  # its newcomer counts for nothing yet
-    made.apply(0.0, ReplicaMoved(id="3", group="g0", voters=(*gone, new), number=2))
-    assert not made.moves
+    assert actions == ["learn", "promote", "remove"]
+    remaining = tuple(member for member in directory.groups["g0"].voters if member != lost)
+    directory.apply(0.0, ReplicaMoved(id="2", group="g0", voters=remaining, number=1))
+    assert "g0" in directory.moves  # the replacement is not a voter yet
+    directory.apply(0.0, ReplicaMoved(id="3", group="g0", voters=(*remaining, replacement), number=2))
+    assert not directory.moves
 
 
 def test_a_move_counts_as_load_and_ends_with_its_learners_incarnation() -> None:
-    made, _, new = moving()
-    held = sum(new in held.voters for held in made.groups.values())
-    assert made.replica_loads()[new] == held + 1
-    name = member_name(new)
-    assert made.apply(0.0, EnrolMember(id="2", name=name, who=f"{name}/2", zone="a")).error is None
-    assert not made.moves
+    directory, _, replacement = directory_with_move()
+    voted_groups = sum(replacement in group.voters for group in directory.groups.values())
+    assert directory.replica_loads()[replacement] == voted_groups + 1
+    name = member_name(replacement)
+    assert directory.apply(0.0, EnrolMember(id="2", name=name, who=f"{name}/2", zone="a")).error is None
+    assert not directory.moves
 
 
 def test_lagging_replicas_are_incomplete_and_a_move_is_timed_by_its_present_leader() -> None:
-    made = placing()
+    directory = placement_directory()
     view = LeaderView(
         100_000.0,
         0.0,
         "m0/1",
         99_000.0,
         Timings(),
-        frozenset(who for who, _ in made.members.values()),
+        frozenset(member for member, _ in directory.members.values()),
         {},
         {},
         {},
         {},
         {},
     )
-    assert made.replication_problems(view) == [] and not is_overdue(view, 0.0)
-    voters = made.groups["g1"].voters
-    assert made.replication_problems(replace(view, behind={"g1": voters[:1]}))
-    made.apply(0.0, ReplicaMoved(id="1", group="g1", voters=voters, number=1, behind=voters[1:2]))
-    assert made.replication_problems(view)
-    assert [replica_count(most, members) for most, members in ((5, 4), (4, 9), (3, 2), (3, 1))] == [
-        3,
-        3,
-        2,
-        1,
-    ]
+    assert directory.replication_problems(view) == [] and not is_overdue(view, 0.0)
+    voters = directory.groups["g1"].voters
+    assert directory.replication_problems(replace(view, behind={"g1": voters[:1]}))
+    directory.apply(0.0, ReplicaMoved(id="1", group="g1", voters=voters, number=1, behind=voters[1:2]))
+    assert directory.replication_problems(view)
+    assert [
+        replica_count(max_copies, members) for max_copies, members in ((5, 4), (4, 9), (3, 2), (3, 1))
+    ] == [3, 3, 2, 1]
 
 
-# What a group's log is applied to
-# --------------------------------------------------------------------------------------
+# Replicated state
+# ----------------------------------------------------------------------------------------------------------
 
 
-def state() -> GroupStateMachine:
+def state_machine() -> GroupStateMachine:
     return GroupStateMachine("g0", Timings(), Invariants())
 
 
-def put(
-    made: GroupStateMachine, index: int, id_: str, name: str, value: str, at_ms: float = 1.0
+def put_value(
+    machine: GroupStateMachine, index: int, command_id: str, name: str, value: str, at_ms: float = 1.0
 ) -> ApplyResult:
-    return made.apply(0.0, index, encode_command(at_ms, key_value.PutValue(id=id_, name=name, value=value)))
+    return machine.apply(
+        0.0, index, encode_command(at_ms, key_value.PutValue(id=command_id, name=name, value=value))
+    )
 
 
 def test_a_snapshot_keeps_answers_and_time_and_the_oldest_id_is_forgotten_first(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(remembered_answers, "MAX_REMEMBERED_IDS", 3)
-    made, other = state(), state()
+    machine, restored = state_machine(), state_machine()
     for number in range(4):
-        assert put(made, number + 1, f"o{number}", "n", f"v{number}", 5000.0 - number).error is None
-    assert made.at_ms == 5000.0  # time goes on, never back
-    assert [command_id for command_id, _, _ in made.answers.dump()] == ["o1", "o2", "o3"]
-    put(other, 1, "x", "gone", "v")
-    other.restore(0.0, made.dump())
-    assert other.at_ms == 5000.0 and other.dump() == made.dump()  # and nothing is left of what was there
-    for one in (made, other):
-        assert put(one, 9, "o3", "n", "v3").value == "v2"  # as the first time
-        assert isinstance(put(one, 10, "o3", "n", "other").error, DuplicateId)
-        assert one.query(key_value.ReadValue(id="r", name="n")).value == "v3"
-
-
-def test_a_lease_is_timed_from_where_its_entry_was_seen() -> None:
-    made = state()
-    opened = OpenContract(
+        assert put_value(machine, number + 1, f"o{number}", "n", f"v{number}", 5000.0 - number).error is None
+    assert machine.at_ms == 5000.0  # the group's time never goes back
+    assert [command_id for command_id, _, _ in machine.answers.dump()] == ["o1", "o2", "o3"]
+    put_value(restored, 1, "x", "gone", "v")
+    restored.restore(0.0, machine.dump())
+    # Restore leaves nothing of the earlier state.
+    assert restored.at_ms == 5000.0 and restored.dump() == machine.dump()
+    for either in (machine, restored):
+        # The answer to a repeated call is the first one.
+        assert put_value(either, 9, "o3", "n", "v3").value == "v2"
+        assert isinstance(put_value(either, 10, "o3", "n", "other").error, DuplicateId)
+        assert either.query(key_value.ReadValue(id="r", name="n")).value == "v3"
+
+
+def test_a_lease_starts_when_its_log_entry_was_seen() -> None:
+    machine = state_machine()
+    open_contract = OpenContract(
         id="o",
         tenant="t",
         contract="c",
@@ -643,7 +681,7 @@
         intervals=(Interval(0.0, 1e9),),
         effective_from_ms=0.0,
     )
-    asked = RequestLease(
+    request = RequestLease(
         id="1",
         tenant="t",
         contract="c",
@@ -653,201 +691,210 @@
         wanted_rate=9.0,
         returned_units=0.0,
     )
-    for index, command in enumerate((opened, asked), 1):
-        made.apply(700.0, index, encode_command(1.0, command))
-    assert [one.seen_ms for one in made.parts["floors"].contracts["c"].pool.leases.values()] == [700.0]
+    for index, command in enumerate((open_contract, request), 1):
+        machine.apply(700.0, index, encode_command(1.0, command))
+    assert [lease.seen_ms for lease in machine.parts["floors"].contracts["c"].pool.leases.values()] == [700.0]
 
 
-def test_names_are_bounded_and_a_known_one_goes_on(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_stored_names_are_bounded_and_a_known_one_can_be_overwritten(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(key_value, "MAX_BYTES", key_value.MIN_ENTRY_BYTES)
-    made = state()
-    assert put(made, 1, "1", "n", "v").value is None
-    assert isinstance(put(made, 2, "2", "other", "v").error, Overloaded)
-    assert put(made, 3, "3", "n", "w").value == "v"
+    machine = state_machine()
+    assert put_value(machine, 1, "1", "n", "v").value is None
+    assert isinstance(put_value(machine, 2, "2", "other", "v").error, Overloaded)
+    assert put_value(machine, 3, "3", "n", "w").value == "v"
 
 
-def test_a_batch_is_owed_until_it_is_told_and_is_given_out_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    def owe(id_: str, at_ms: float = 0.0) -> ApplyResult:
-        return made.apply(
+def test_a_usage_batch_is_kept_until_reported_and_claimed_only_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    def record(batch: str, at_ms: float = 0.0) -> ApplyResult:
+        return usage.apply(
             at_ms,
             unreported_usage.RecordUsage(
-                id=id_, tenant="t", recorded_by="a/1", lines=(unreported_usage.UsageLine("n", 3.0, 1000.0),)
+                id=batch, tenant="t", recorded_by="a/1", lines=(unreported_usage.UsageLine("n", 3.0, 1000.0),)
             ),
         )
 
-    def claim(batch: str, by: str) -> ApplyResult:
-        return made.apply(
-            1.0, unreported_usage.ClaimUsage(id=f"{batch}{by}", tenant="t", batch=batch, reporter=by)
+    def claim(batch: str, reporter: str) -> ApplyResult:
+        return usage.apply(
+            1.0,
+            unreported_usage.ClaimUsage(id=f"{batch}{reporter}", tenant="t", batch=batch, reporter=reporter),
         )
 
-    def told(batch: str, by: str, known: bool) -> ApplyResult:
-        return made.apply(
+    def confirm(batch: str, reporter: str, outcome_known: bool) -> ApplyResult:
+        return usage.apply(
             2.0,
             unreported_usage.ConfirmUsageReported(
-                id="t", tenant="t", batch=batch, reporter=by, outcome_known=known
+                id="t", tenant="t", batch=batch, reporter=reporter, outcome_known=outcome_known
             ),
         )
 
     monkeypatch.setattr(unreported_usage, "MAX_UNREPORTED_BYTES", 2 * unreported_usage.MIN_BATCH_BYTES)
-    made = unreported_usage.UnreportedUsage()
-    assert owe("1").error is None and owe("2").error is None and isinstance(owe("3").error, Overloaded)
+    usage = unreported_usage.UnreportedUsage()
+    assert (
+        record("1").error is None and record("2").error is None and isinstance(record("3").error, Overloaded)
+    )
     assert claim("1", "b/1").value == [["n", 3.0, 1000.0]]
-    again = unreported_usage.UnreportedUsage()
-    again.load(msgspec.msgpack.decode(msgspec.msgpack.encode(made.dump())))
-    made = again
-    # what is being told is not offered
-    assert made.query(unreported_usage.ReadUnreportedUsage(id="r", tenant="t")).value == ["2"]
+    restored = unreported_usage.UnreportedUsage()
+    restored.load(msgspec.msgpack.decode(msgspec.msgpack.encode(usage.dump())))
+    usage = restored
+    # a claimed batch is not listed
+    assert usage.query(unreported_usage.ReadUnreportedUsage(id="r", tenant="t")).value == ["2"]
     assert isinstance(claim("1", "c/1").error, WrongState) and isinstance(
-        told("1", "c/1", True).error, NotFound
+        confirm("1", "c/1", True).error, NotFound
     )
-    assert told("1", "b/1", True).value and made.unknown_units == 0.0
-    assert claim("2", "b/1").value and told("2", "b/1", False).value and made.unknown_units == 3.0
-    assert owe("4").error is None and owe("5", unreported_usage.MAX_BATCH_AGE_MS + 1.0).error is None
-    assert made.unknown_units == 6.0 and made.query(
+    assert confirm("1", "b/1", True).value and usage.unknown_units == 0.0
+    assert claim("2", "b/1").value and confirm("2", "b/1", False).value and usage.unknown_units == 3.0
+    assert record("4").error is None and record("5", unreported_usage.MAX_BATCH_AGE_MS + 1.0).error is None
+    assert usage.unknown_units == 6.0 and usage.query(
         unreported_usage.ReadUnreportedUsage(id="r", tenant="t")
     ).value == ["5"]
 
 
-def test_a_holder_keeps_no_more_than_it_had_and_only_its_present_lease_ends() -> None:
-    whole, rules = LeasePool(10.0), Invariants()
-    assert whole.request(LeaseRequest("a", 0, 0.0, 6.0, 0.0), rules).share == 6.0  # type: ignore[union-attr]
-    assert isinstance(whole.request(LeaseRequest("a", 1, 7.0, 7.0, 0.0), rules), InvalidCall)
-    assert whole.request(LeaseRequest("a", 1, 6.0, 6.0, 0.0), rules).number == 2  # type: ignore[union-attr]
-    assert not whole.release("a", 1) and whole.granted() == 6.0
-    whole.grow("a", 2.0)
-    assert whole.request(LeaseRequest("b", 0, 0.0, 9.0, 0.0), rules).share == 2.0  # type: ignore[union-attr]
-    assert whole.release("a", 2) and whole.granted() == 2.0
+def test_a_renewal_keeps_at_most_the_held_share_and_only_the_present_lease_is_released() -> None:
+    pool, invariants = LeasePool(10.0), Invariants()
+    assert pool.request(LeaseRequest("a", 0, 0.0, 6.0, 0.0), invariants).share == 6.0  # type: ignore[union-attr]
+    assert isinstance(pool.request(LeaseRequest("a", 1, 7.0, 7.0, 0.0), invariants), InvalidCall)
+    assert pool.request(LeaseRequest("a", 1, 6.0, 6.0, 0.0), invariants).number == 2  # type: ignore[union-attr]
+    assert not pool.release("a", 1) and pool.granted() == 6.0
+    pool.grow("a", 2.0)
+    assert pool.request(LeaseRequest("b", 0, 0.0, 9.0, 0.0), invariants).share == 2.0  # type: ignore[union-attr]
+    assert pool.release("a", 2) and pool.granted() == 2.0
 
 
-def test_a_leap_of_the_groups_time_fills_no_bucket() -> None:
-    whole = LeasePool(10.0, 100.0, free_units=0.0, accrued_until_ms=1000.0)
-    whole.accrue(3_600_000.0)
-    assert whole.free_units == 10.0 * MAX_ACCRUAL_GAP_MS / 1000.0
+def test_a_jump_of_the_groups_time_does_not_fill_a_bucket() -> None:
+    pool = LeasePool(10.0, 100.0, free_units=0.0, accrued_until_ms=1000.0)
+    pool.accrue(3_600_000.0)
+    assert pool.free_units == 10.0 * MAX_ACCRUAL_GAP_MS / 1000.0
 
 
-# What a node tells of its calls, and does for its groups
-# ---------------------------------------------------------------
+# Calls and replicas of a node
+# ----------------------------------------------------------------------------------------------------------
 
 
-def node(names: str = "abc", strict: bool = True, draw: int = 1) -> ClusterNode:
-    """a/1 of a fleet that is founded, at 0 by both its clocks."""
+def cluster_node(names: str = "abc", strict: bool = True, seed: int = 1) -> ClusterNode:
+    """Node a/1 of a bootstrapped cluster, at the start of both its clocks."""
     record = BootstrapRecord("yard", "01", "a/1", tuple((f"{name}/1", "x") for name in names), 2, 3)
     saved = PersistedGroup(snapshot=Snapshot(1, 1, GroupConfiguration(()), msgspec.msgpack.encode(record)))
     setup = NodeSetup("yard", "a", "1", tuple(Member(name, "x") for name in names), group_count=2)
-    return ClusterNode(setup, {BOOTSTRAP_GROUP: saved}, Random(draw), 0.0, 1e12, Invariants(strict))
+    return ClusterNode(setup, {BOOTSTRAP_GROUP: saved}, Random(seed), 0.0, 1e12, Invariants(strict))
 
 
-def told(effects: list[Any]) -> list[Any]:
-    return [one.result for one in effects if isinstance(one, OperationCompleted)]
+def results_of(effects: list[Any]) -> list[Any]:
+    return [effect.result for effect in effects if isinstance(effect, OperationCompleted)]
 
 
-def forwards(effects: list[Any]) -> list[ForwardedCall]:
-    """Of `PUT`; a node has calls of its own as well."""
+def forwarded_puts(effects: list[Any]) -> list[ForwardedCall]:
+    """The forwarded attempts of `PUT_CALL`; a node forwards calls of its own as well."""
     return [
-        one.message
-        for one in effects
-        if isinstance(one, SendMessage)
-        and isinstance(one.message, ForwardedCall)
-        and isinstance(decode_command(one.message.body)[1], key_value.PutValue)
+        effect.message
+        for effect in effects
+        if isinstance(effect, SendMessage)
+        and isinstance(effect.message, ForwardedCall)
+        and isinstance(decode_command(effect.message.body)[1], key_value.PutValue)
     ]
 
 
-PUT = ClusterCall("t", key_value.PutValue(id="1", name="n", value="v"))
-ROOM = ApplyResult(error=InsufficientCapacity("c", "full"))
-LATER = UnknownOutcome("g0", "the leader changed before it was committed")
+PUT_CALL = ClusterCall("t", key_value.PutValue(id="1", name="n", value="v"))
+NO_CAPACITY = ApplyResult(error=InsufficientCapacity("c", "full"))
+LEADER_CHANGED = UnknownOutcome("g0", "the leader changed before it was committed")
 
 
 @pytest.mark.parametrize(
-    ("answers", "end"),
+    ("answers", "expected"),
     [
         ([], UnknownOutcome),
-        ([(1, NoLeader("g0", "none")), (2, NoLeader("g0", "none"))], NoLeader),  # no try may have been taken
-        ([(2, NoLeader("g0", "none"))], UnknownOutcome),  # of the first nothing is known
-        ([(1, LATER), (2, NoLeader("g0", "none"))], UnknownOutcome),
-        ([(1, ROOM)], InsufficientCapacity),
-        ([(2, ROOM)], UnknownOutcome),  # the first may be taken yet
-        ([(2, ROOM), (1, ROOM)], InsufficientCapacity),
-        ([(2, ApplyResult("v0"))], str),  # taken is taken
-        ([(1, LATER), (2, ApplyResult("v0"))], str),  # it is made again
+        ([(1, NoLeader("g0", "none")), (2, NoLeader("g0", "none"))], NoLeader),  # no attempt can be applied
+        ([(2, NoLeader("g0", "none"))], UnknownOutcome),  # the outcome of the first attempt is unknown
+        ([(1, LEADER_CHANGED), (2, NoLeader("g0", "none"))], UnknownOutcome),
+        ([(1, NO_CAPACITY)], InsufficientCapacity),
+        ([(2, NO_CAPACITY)], UnknownOutcome),  # the first attempt may still be applied
+        ([(2, NO_CAPACITY), (1, NO_CAPACITY)], InsufficientCapacity),
+        ([(2, ApplyResult("v0"))], str),  # the call was applied
+        ([(1, LEADER_CHANGED), (2, ApplyResult("v0"))], str),  # the second attempt was applied
     ],
 )
 def test_a_call_is_rejected_only_where_no_attempt_of_it_can_be_applied(
-    answers: list[tuple[int, Any]], end: type[Any]
+    answers: list[tuple[int, Any]], expected: type[Any]
 ) -> None:
-    made = node()
-    tries = forwards(made.handle(1.0, 1e12, PUT))
-    now, got, waiting = 1.0, list[Any](), dict(answers)
-    while not got and now < 5000.0:
+    node = cluster_node()
+    attempts = forwarded_puts(node.handle(1.0, 1e12, PUT_CALL))
+    now, results, pending_answers = 1.0, list[Any](), dict(answers)
+    while not results and now < 5000.0:
         now += 20.0
-        effects = made.handle(now, 1e12, Tick())
-        tries += forwards(effects)
-        got += told(effects)
-        for number, answer in list(waiting.items()):
-            if len(tries) >= number and (number == 1 or len(tries) >= 2) and next(iter(waiting)) == number:
+        effects = node.handle(now, 1e12, Tick())
+        attempts += forwarded_puts(effects)
+        results += results_of(effects)
+        for number, answer in list(pending_answers.items()):
+            if (
+                len(attempts) >= number
+                and (number == 1 or len(attempts) >= 2)
+                and next(iter(pending_answers)) == number
+            ):
                 body = [answer, None, ""] if isinstance(answer, ApplyResult) else [None, answer, ""]
-                effects = made.handle(
+                effects = node.handle(
                     now,
                     1e12,
                     MessageReceived(
-                        "b/1", ForwardedReply(tries[number - 1].token, msgspec.msgpack.encode(body))
+                        "b/1", ForwardedReply(attempts[number - 1].token, msgspec.msgpack.encode(body))
                     ),
                 )
-                tries += forwards(effects)
-                got += told(effects)
-                del waiting[number]
-        if not waiting and len(tries) > 2:  # all further ones are answered that nobody leads
-            effects = made.handle(
+                attempts += forwarded_puts(effects)
+                results += results_of(effects)
+                del pending_answers[number]
+        if not pending_answers and len(attempts) > 2:  # further attempts are answered with NoLeader
+            effects = node.handle(
                 now,
                 1e12,
                 MessageReceived(
                     "b/1",
                     ForwardedReply(
-                        tries[-1].token, msgspec.msgpack.encode([None, NoLeader("g0", "none"), ""])
+                        attempts[-1].token, msgspec.msgpack.encode([None, NoLeader("g0", "none"), ""])
                     ),
                 ),
             )
-            got += told(effects)
-    result = got[0].error or got[0].value if isinstance(got[0], ApplyResult) else got[0]
-    assert len(got) == 1 and type(result) is end and now <= 2100.0
+            results += results_of(effects)
+    result = results[0].error or results[0].value if isinstance(results[0], ApplyResult) else results[0]
+    assert len(results) == 1 and type(result) is expected and now <= 2100.0
 
 
 def test_a_reply_to_an_earlier_process_is_ignored_and_pending_calls_are_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(call_router, "MAX_PENDING_CALLS", 1)
-    before, made = node(), node(draw=2)
-    old = forwards(before.handle(1.0, 1e12, PUT))[0]
-    assert forwards(made.handle(1.0, 1e12, PUT))
+    earlier_process, node = cluster_node(), cluster_node(seed=2)
+    old_call = forwarded_puts(earlier_process.handle(1.0, 1e12, PUT_CALL))[0]
+    assert forwarded_puts(node.handle(1.0, 1e12, PUT_CALL))
     body = msgspec.msgpack.encode([ApplyResult("old"), None, ""])
-    assert told(made.handle(2.0, 1e12, MessageReceived("b/1", ForwardedReply(old.token, body)))) == []
-    assert [type(one) for one in told(made.handle(3.0, 1e12, PUT))] == [Overloaded]
+    assert (
+        results_of(node.handle(2.0, 1e12, MessageReceived("b/1", ForwardedReply(old_call.token, body)))) == []
+    )
+    assert [type(result) for result in results_of(node.handle(3.0, 1e12, PUT_CALL))] == [Overloaded]
 
 
 def test_the_clusters_time_is_the_median_of_a_majoritys_clocks() -> None:
-    made = node("abcde")
-    assert not made.clock.is_synchronized
-    for who, wall in (("b/1", 1e12 + 3_600_000.0), ("c/1", 1e12 + 5.0), ("d/1", 1e12 + 9.0)):
-        made.handle(1.0, 1e12, MessageReceived(who, Ping(1, "a/1", (), wall)))
-    assert made.clock.is_synchronized and 0.0 <= made.clock.offset_ms <= 9.0
+    node = cluster_node("abcde")
+    assert not node.clock.is_synchronized
+    for member, wall_ms in (("b/1", 1e12 + 3_600_000.0), ("c/1", 1e12 + 5.0), ("d/1", 1e12 + 9.0)):
+        node.handle(1.0, 1e12, MessageReceived(member, Ping(1, "a/1", (), wall_ms)))
+    assert node.clock.is_synchronized and 0.0 <= node.clock.offset_ms <= 9.0
 
 
-def alone_and_leading(strict: bool) -> ClusterNode:
-    """A fleet of one, whose store takes no time."""
-    made, now = node("a", strict), 0.0
-    while not all(replica.leading for replica in made.replicas.values()):
+def single_member_leader(strict: bool) -> ClusterNode:
+    """The leading node of a single-member cluster, whose writes complete immediately."""
+    node, now = cluster_node("a", strict), 0.0
+    while not all(replica.leading for replica in node.replicas.values()):
         now += 50.0
-        carry(made, now, made.handle(now, 1e12 + now, Tick()))
+        complete_writes(node, now, node.handle(now, 1e12 + now, Tick()))
         assert now < 5000.0
-    return made
+    return node
 
 
-def carry(made: ClusterNode, now: float, effects: list[Any]) -> list[Any]:
-    """Answer its stores until nothing more comes of it; gives what was told."""
-    results = told(effects)
-    for one in effects:
-        if isinstance(one, PersistRecords):
-            results += carry(
-                made, now, made.handle(now, 1e12 + now, RecordsPersisted(one.group, one.sequence))
+def complete_writes(node: ClusterNode, now: float, effects: list[Any]) -> list[Any]:
+    """Complete the node's writes until there are no further ones; returns the results of its calls."""
+    results = results_of(effects)
+    for effect in effects:
+        if isinstance(effect, PersistRecords):
+            results += complete_writes(
+                node, now, node.handle(now, 1e12 + now, RecordsPersisted(effect.group, effect.sequence))
             )
     return results
 
@@ -855,33 +902,37 @@
 def test_a_broken_invariant_stops_only_the_replica_concerned_in_service(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = alone_and_leading(False)
-    at = group_for_key("p:n", 2)
+    node = single_member_leader(False)
+    group_of_call = group_for_key("p:n", 2)
 
-    def breaks(self: Any, at_ms: float, command: Any) -> ApplyResult:
-        made.rules.check(Rule.ID_ONCE, False, lambda: "planted")
+    def break_invariant(self: Any, at_ms: float, command: Any) -> ApplyResult:
+        node.rules.check(Rule.ID_ONCE, False, lambda: "planted")
         return ApplyResult("kept")
 
-    monkeypatch.setattr(key_value.KeyValueStore, "apply", breaks)
-    carry(made, 5001.0, made.handle(5001.0, 1e12, PUT))
-    assert [group for group, replica in made.replicas.items() if replica.stop_reason is not None] == [at]
+    monkeypatch.setattr(key_value.KeyValueStore, "apply", break_invariant)
+    complete_writes(node, 5001.0, node.handle(5001.0, 1e12, PUT_CALL))
+    assert [group for group, replica in node.replicas.items() if replica.stop_reason is not None] == [
+        group_of_call
+    ]
 
 
 def test_a_repeated_call_is_deduplicated_by_its_id() -> None:
-    made = alone_and_leading(True)
+    node = single_member_leader(True)
     for now in (5001.0, 5002.0):
-        assert [one.value for one in carry(made, now, made.handle(now, 1e12, PUT))] == [None]
+        assert [result.value for result in complete_writes(node, now, node.handle(now, 1e12, PUT_CALL))] == [
+            None
+        ]
 
 
 def test_a_storage_failure_stops_every_replica() -> None:
-    made = alone_and_leading(True)
-    made.handle(5001.0, 1e12, StorageFailure(StorageFailed("a", "full")))
-    assert all(replica.stop_reason is not None for replica in made.replicas.values())
+    node = single_member_leader(True)
+    node.handle(5001.0, 1e12, StorageFailure(StorageFailed("a", "full")))
+    assert all(replica.stop_reason is not None for replica in node.replicas.values())
 
 
 def test_only_committed_members_and_lasting_lags_are_reported() -> None:
-    made = node()
-    stub: Any = SimpleNamespace(
+    node = cluster_node()
+    replica: Any = SimpleNamespace(
         commit_index=1,
         config_index=2,
         config=GroupConfiguration(("a/1",)),
@@ -889,81 +940,89 @@
         leader_since_ms=-1e9,
         lagging_voters=lambda: ("b/1",),
     )
-    follower = made.placement_follower
-    follower.placement.groups["g0"] = GroupPlacement(("a/1", "b/1"))
-    assert follower.advance_group(1.0, 1e12, "g0", stub) == []
-    assert follower.lagging_for_long(1.0, "g0", stub) == ()
-    assert follower.lagging_for_long(LAGGING_AFTER_MS + 2.0, "g0", stub) == ("b/1",)
+    placement_follower = node.placement_follower
+    placement_follower.placement.groups["g0"] = GroupPlacement(("a/1", "b/1"))
+    assert placement_follower.advance_group(1.0, 1e12, "g0", replica) == []
+    assert placement_follower.lagging_for_long(1.0, "g0", replica) == ()
+    assert placement_follower.lagging_for_long(LAGGING_AFTER_MS + 2.0, "g0", replica) == ("b/1",)
 
 
-class Yard(FleetWorld):
-    """Three members that run and lead; nothing else happens."""
+class RunningCluster(FleetWorld):
+    """A simulated cluster of three running members, with leaders elected and no faults."""
 
-    def __init__(self, wrong_ms: float = 0.0) -> None:
+    def __init__(self, clock_error_ms: float = 0.0) -> None:
         super().__init__(Plan(1, 3))
-        self.machines["g1"].clock.off = wrong_ms
+        self.machines["g1"].clock.off = clock_error_ms
         for name in self.machines:
             self.start(name)
         self.calendar.run(4000.0)
         assert not self.findings
 
-    def leads(self, group: str) -> Machine:
+    def leader_of(self, group: str) -> Machine:
         return next(
-            one for one in self.machines.values() if one.node is not None and one.node.replicas[group].leading
+            machine
+            for machine in self.machines.values()
+            if machine.node is not None and machine.node.replicas[group].leading
         )
 
-    def go(self, ms: float) -> None:
+    def run_for(self, ms: float) -> None:
         self.calendar.run(self.calendar.now + ms)
 
 
-def test_a_read_is_answered_only_by_who_has_asked_a_majority() -> None:
-    world, got = Yard(), list[Any]()
-    leader = world.leads(group_for_key("p:n", 8))
-    rest = [name for name in world.machines if name != leader.name]
+def test_a_read_is_answered_only_by_a_leader_that_reaches_a_majority() -> None:
+    world, results = RunningCluster(), list[Any]()
+    leader = world.leader_of(group_for_key("p:n", 8))
+    others = [name for name in world.machines if name != leader.name]
     world.network.cut(
-        [(one, other) for name in rest for one, other in ((leader.name, name), (name, leader.name))]
+        [
+            (sender, receiver)
+            for name in others
+            for sender, receiver in ((leader.name, name), (name, leader.name))
+        ]
     )
-    world.call(leader.name, key_value.ReadValue(id="r", name="n"), got.append)
-    world.go(500.0)
-    assert got == []
+    world.call(leader.name, key_value.ReadValue(id="r", name="n"), results.append)
+    world.run_for(500.0)
+    assert results == []
 
 
 @pytest.mark.parametrize("how", ["leave", "drained"])
-def test_who_ends_or_is_drained_hands_its_groups_over_at_once(how: str) -> None:
-    world = Yard()
-    leader = world.leads(FLEET)
+def test_a_leaving_or_drained_member_hands_over_leadership_at_once(how: str) -> None:
+    world = RunningCluster()
+    leader = world.leader_of(FLEET)
     if how == "leave":
         world._give(leader.name, leader.life, [LeaveCluster("l")])
     else:
         assert leader.node is not None
         leader.node.avoid_leadership = True
-    world.go(400.0)  # less than an election takes
+    world.run_for(400.0)  # shorter than an election
     assert leader.node is not None and not any(replica.leading for replica in leader.node.replicas.values())
-    assert world.leads(FLEET) is not leader
+    assert world.leader_of(FLEET) is not leader
 
 
-def test_a_wrong_clock_at_the_founding_does_not_become_the_groups_time() -> None:
-    world = Yard(wrong_ms=3_600_000.0)
+def test_a_wrong_clock_at_the_bootstrap_does_not_become_the_groups_time() -> None:
+    world = RunningCluster(clock_error_ms=3_600_000.0)
     for machine in world.machines.values():
         assert machine.node is not None
-        assert all(state.at_ms < UNIX_MS + 10_000.0 for state in machine.node.state_machines.values())
+        assert all(
+            state_machine.at_ms < UNIX_MS + 10_000.0 for state_machine in machine.node.state_machines.values()
+        )
 
 
-def test_a_roll_sees_what_contracts_take() -> None:
-    world = Yard()
-    made = world.leads(FLEET).node
+def test_a_rolling_restart_counts_the_load_of_contracts() -> None:
+    world = RunningCluster()
+    node = world.leader_of(FLEET).node
     assert (
-        made is not None
-        and "promised" in made.leader_duties.view(1.0, 1e12, made.replicas[FLEET], made.load).load
+        node is not None
+        and "promised" in node.leader_duties.view(1.0, 1e12, node.replicas[FLEET], node.load).load
     )
 
 
-# The store and the links
-# -----------------------------------------------------------------------------------------------
+# Storage and transport
+# ----------------------------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "damage",
     [
         "UPDATE part SET term = term + 1 WHERE grp = 'g'",
         "UPDATE part SET vote = 'z/1' WHERE grp = 'g'",
@@ -974,163 +1033,183 @@
         "DELETE FROM entry WHERE grp = 'g' AND idx = 5",
         "UPDATE store SET incarnation = 'x'",
         "UPDATE entry SET body = (SELECT body FROM old), term = (SELECT term FROM old), sum = (SELECT sum FROM old) "
-        "WHERE grp = 'g' AND idx = 4",  # as a page that was never written over: good in itself
+        "WHERE grp = 'g' AND idx = 4",  # a stale row with a valid checksum, as after a lost page write
     ],
 )
-def test_a_row_that_is_not_as_it_was_written_makes_a_newcomer(tmp_path: Path, spoil: str) -> None:
-    disk = open_existing(tmp_path)
-    write_records(disk, "g", HardState(3, "b/1"), entries(1, 5), Snapshot(2, 1, THREE_VOTERS, b"x"))
-    write_records(disk, "h", Snapshot(7, 1, THREE_VOTERS, b"y"))
-    disk._database.execute("CREATE TABLE old AS SELECT * FROM entry WHERE grp = 'g' AND idx = 4")
-    write_records(disk, "g", entries(4, 5, 2))
-    disk._database.execute(spoil)
-    disk._database.execute("DROP TABLE old")
-    disk.close()
-    back = open_existing(tmp_path, incarnation="2")
-    assert back.incarnation == "2" and not back.persisted_groups
-    assert [type(one) for one in back.faults] == [StorageDamaged]
-    back.close()
+def test_a_damaged_row_makes_the_member_start_as_a_new_incarnation(tmp_path: Path, damage: str) -> None:
+    storage = open_existing(tmp_path)
+    write_records(storage, "g", HardState(3, "b/1"), entries(1, 5), Snapshot(2, 1, THREE_VOTERS, b"x"))
+    write_records(storage, "h", Snapshot(7, 1, THREE_VOTERS, b"y"))
+    storage._database.execute("CREATE TABLE old AS SELECT * FROM entry WHERE grp = 'g' AND idx = 4")
+    write_records(storage, "g", entries(4, 5, 2))
+    storage._database.execute(damage)
+    storage._database.execute("DROP TABLE old")
+    storage.close()
+    reopened = open_existing(tmp_path, incarnation="2")
+    assert reopened.incarnation == "2" and not reopened.persisted_groups
+    assert [type(fault) for fault in reopened.faults] == [StorageDamaged]
+    reopened.close()
 
 
 def test_each_transaction_is_synced(tmp_path: Path) -> None:
     for fsync, level in ((True, 2), (False, 0)):
-        made = open_storage(tmp_path / str(fsync), "f", "a", fsync)
-        assert isinstance(made, ClusterStorage) and made._database.execute(
+        storage = open_storage(tmp_path / str(fsync), "f", "a", fsync)
+        assert isinstance(storage, ClusterStorage) and storage._database.execute(
             "PRAGMA synchronous"
         ).fetchone() == (level,)
-        made.close()
+        storage.close()
 
 
 @pytest.mark.parametrize(("broken", "kept"), [(3, 0), (4, 4)])
-def test_a_break_before_the_last_commit_is_no_tear(tmp_path: Path, broken: int, kept: int) -> None:
-    """Without the count, which may be old after the machine's death: of five commits, the one at which it
-    breaks."""
-    disk = open_existing(tmp_path / "live")
-    told, ends = (tmp_path / "live" / ACKNOWLEDGED_FILE).read_bytes(), [0]
+def test_damage_before_the_last_commit_is_not_taken_for_a_torn_write(
+    tmp_path: Path, broken: int, kept: int
+) -> None:
+    """One of five commits is damaged, and the file of acknowledged writes is stale, as it may be after a machine
+    crash."""
+    storage = open_existing(tmp_path / "live")
+    acknowledged, wal_sizes = (tmp_path / "live" / ACKNOWLEDGED_FILE).read_bytes(), [0]
     for number in range(1, 6):
-        write_records(disk, "g", entries(number, number))
-        ends.append((tmp_path / "live" / WAL_FILE).stat().st_size)
+        write_records(storage, "g", entries(number, number))
+        wal_sizes.append((tmp_path / "live" / WAL_FILE).stat().st_size)
     shutil.copytree(tmp_path / "live", tmp_path / "dead", ignore=shutil.ignore_patterns("*-shm", "lock"))
-    disk.close()
+    storage.close()
     raw = bytearray((tmp_path / "dead" / WAL_FILE).read_bytes())
-    raw[ends[broken] + 1000] ^= 1
+    raw[wal_sizes[broken] + 1000] ^= 1
     (tmp_path / "dead" / WAL_FILE).write_bytes(raw)
-    (tmp_path / "dead" / ACKNOWLEDGED_FILE).write_bytes(told)
-    back = open_existing(tmp_path / "dead", incarnation="2")
-    assert back.incarnation == ("1" if kept else "2")
-    assert not kept or len(back.persisted_groups["g"].entries) == kept
-    back.close()
+    (tmp_path / "dead" / ACKNOWLEDGED_FILE).write_bytes(acknowledged)
+    reopened = open_existing(tmp_path / "dead", incarnation="2")
+    assert reopened.incarnation == ("1" if kept else "2")
+    assert not kept or len(reopened.persisted_groups["g"].entries) == kept
+    reopened.close()
 
 
-def test_another_version_is_turned_away() -> None:
+def test_another_protocol_version_is_rejected() -> None:
     for version in (PROTOCOL_VERSION - 1, PROTOCOL_VERSION + 1):
-        sent = msgspec.msgpack.encode(Envelope(version, "f", "a/1", "b", ()))
-        assert isinstance(decode_envelope(sent, "f", "a"), BadFrame)
+        envelope = msgspec.msgpack.encode(Envelope(version, "f", "a/1", "b", ()))
+        assert isinstance(decode_envelope(envelope, "f", "a"), BadFrame)
 
 
-def test_who_is_not_there_is_dialled_with_pauses_and_connections_taken_are_bounded() -> None:
+def test_an_unreachable_peer_is_dialled_with_backoff_and_inbound_connections_are_bounded() -> None:
     async def test() -> None:
-        async with connected_pair() as (here, there):
-            peer = here.transport.peers["b"]
+        async with connected_pair() as (sender, receiver):
+            peer = sender.transport.peers["b"]
             peer.address = HOST, 1
-            here.transport.send("b/1", PING)
+            sender.transport.send("b/1", PING)
             await until(lambda: peer.send_task is None)
             assert (
                 peer.reconnect_backoff_s >= SHORT_TIMEOUTS.min_reconnect_backoff_s
                 and peer.reconnect_at_s > 0.0
             )
-            held = [await asyncio.open_connection(HOST, there.port) for _ in range(16)]
-            await until(lambda: bool(there.transport.inbound_connection_count))
-            assert there.transport.inbound_connection_count <= 2 * len(there.transport.peers) + 8
-            for _, writer in held:
+            connections = [await asyncio.open_connection(HOST, receiver.port) for _ in range(16)]
+            await until(lambda: bool(receiver.transport.inbound_connection_count))
+            assert receiver.transport.inbound_connection_count <= 2 * len(receiver.transport.peers) + 8
+            for _, writer in connections:
                 writer.close()
 
     run_with_timeout(test)
 
 
-# Rolls, as the log holds them
-# ------------------------------------------------------------------------------------------
+# Rolling restarts
+# ----------------------------------------------------------------------------------------------------------
 
-WELL = ClusterConditions(0, 0, 0, -1.0, 0.0)
+CONDITIONS_MET = ClusterConditions(0, 0, 0, -1.0, 0.0)
 
 
-def rolling(**ask: Any) -> RollingRestarts:
-    """A roll over three gateways, planned; it has changed twice."""
-    made = RollingRestarts(Invariants())
-    given = {"id": "1", "restart": "r", "warm_up_ms": 50.0, **ask}
+def planned_restart(**overrides: Any) -> RollingRestarts:
+    """A planned rolling restart of three gateways, at version 2."""
+    restarts = RollingRestarts(Invariants())
+    fields = {"id": "1", "restart": "r", "warm_up_ms": 50.0, **overrides}
     for command in (
-        StartRollingRestart(**given),
+        StartRollingRestart(**fields),
         RecordRestartEvent(id="2", restart="r", restart_version=0, event="SEEN"),
         RecordRestartEvent(
             id="3", restart="r", restart_version=1, event="PLANNED", order=("a", "b", "c"), member_count=3
         ),
     ):
-        assert made.apply(0.0, command).error is None
-    return made
+        assert restarts.apply(0.0, command).error is None
+    return restarts
 
 
-def wave(made: RollingRestarts, *names: str, stamp: int = -1, facts: ClusterConditions = WELL) -> ApplyResult:
-    at = made.restarts["r"].version if stamp < 0 else stamp
-    return made.apply(
-        1.0, StartWave(id="w", restart="r", restart_version=at, gateways=names, conditions=facts)
+def start_wave(
+    restarts: RollingRestarts,
+    *names: str,
+    restart_version: int = -1,
+    conditions: ClusterConditions = CONDITIONS_MET,
+) -> ApplyResult:
+    version = restarts.restarts["r"].version if restart_version < 0 else restart_version
+    return restarts.apply(
+        1.0, StartWave(id="w", restart="r", restart_version=version, gateways=names, conditions=conditions)
     )
 
 
-def step(
-    made: RollingRestarts, name: str, what: str, round_: int = -1, facts: ClusterConditions | None = WELL
+def record_event(
+    restarts: RollingRestarts,
+    name: str,
+    event: str,
+    gateway_version: int = -1,
+    conditions: ClusterConditions | None = CONDITIONS_MET,
 ) -> ApplyResult:
-    at = made.restarts["r"].gateways[name].version if round_ < 0 else round_
-    return made.apply(
+    version = restarts.restarts["r"].gateways[name].version if gateway_version < 0 else gateway_version
+    return restarts.apply(
         2.0,
         RecordGatewayEvent(
             id="s",
             restart="r",
             gateway=name,
-            gateway_version=at,
-            event=what,
-            conditions=facts,
-            restart_version=made.restarts["r"].version,
+            gateway_version=version,
+            event=event,
+            conditions=conditions,
+            restart_version=restarts.restarts["r"].version,
         ),
     )
 
 
-def report(made: RollingRestarts, name: str, what: str, process: str = "p1", round_: int = -1) -> ApplyResult:
-    at = made.restarts["r"].gateways[name].version if round_ < 0 else round_
-    return made.apply(
+def report_progress(
+    restarts: RollingRestarts, name: str, progress: str, process: str = "p1", gateway_version: int = -1
+) -> ApplyResult:
+    version = restarts.restarts["r"].gateways[name].version if gateway_version < 0 else gateway_version
+    return restarts.apply(
         3.0,
-        ReportGateway(id="t", restart="r", gateway=name, gateway_version=at, report=what, process=process),
+        ReportGateway(
+            id="t", restart="r", gateway=name, gateway_version=version, report=progress, process=process
+        ),
     )
 
 
-def stands(made: RollingRestarts) -> str:
-    return " ".join(one.phase.value for one in made.restarts["r"].gateways.values())
+def phases(restarts: RollingRestarts) -> str:
+    return " ".join(gateway.phase.value for gateway in restarts.restarts["r"].gateways.values())
 
 
-def test_a_roll_takes_each_step_once_and_from_where_it_stands() -> None:
-    made = rolling()
-    assert wave(made, "a", stamp=1).error is not None  # seen before it was planned
-    turned = made.apply(
+def test_a_rolling_restart_applies_each_event_once_and_in_its_phase() -> None:
+    restarts = planned_restart()
+    assert start_wave(restarts, "a", restart_version=1).error is not None  # the version before it was planned
+    stale_event = restarts.apply(
         1.0, RecordRestartEvent(id="4", restart="r", restart_version=1, event="BLOCKED", cause="old")
     )
-    assert turned.error is not None and made.restarts["r"].state is RollState.RUNNING
+    assert stale_event.error is not None and restarts.restarts["r"].state is RestartState.RUNNING
+    # One restart at a time.
+    assert restarts.apply(1.0, StartRollingRestart(id="5", restart="other")).error is not None
+    assert start_wave(restarts, "a", "b").error is not None  # more gateways than `at_once`
+    # The previous wave is in progress.
+    assert start_wave(restarts, "a").error is None and start_wave(restarts, "b").error is not None
+    assert record_event(restarts, "a", "ROOMY").error is not None  # it has not reported ready
     assert (
-        made.apply(1.0, StartRollingRestart(id="5", restart="other")).error is not None
-    )  # one roll at a time
-    assert wave(made, "a", "b").error is not None  # more than at once
-    assert wave(made, "a").error is None and wave(made, "b").error is not None  # beside the one before
-    assert step(made, "a", "ROOMY").error is not None  # it has not said that it is ready
-    assert step(made, "b", "WARM").error is not None and step(made, "a", "PAUSED").error is not None
-    report(made, "a", "ready", round_=0)
-    assert made.restarts["r"].gateways["a"].report is None  # of a round before
-    report(made, "a", "ready")
-    assert step(made, "a", "ROOMY", round_=0).error is not None
-    assert step(made, "a", "ROOMY").error is None and stands(made) == "pausing waiting waiting"
-    report(made, "a", "paused")
-    assert step(made, "a", "ACT").error is not None  # it has not said that it is empty
-    report(made, "a", "back")
-    assert stands(made) == "emptying waiting waiting"  # the same process is no later one
-    report(made, "a", "empty")
-    for wrong in (
+        record_event(restarts, "b", "WARM").error is not None
+        and record_event(restarts, "a", "PAUSED").error is not None
+    )
+    report_progress(restarts, "a", "ready", gateway_version=0)
+    assert restarts.restarts["r"].gateways["a"].report is None  # a report for an earlier version
+    report_progress(restarts, "a", "ready")
+    assert record_event(restarts, "a", "ROOMY", gateway_version=0).error is not None
+    assert (
+        record_event(restarts, "a", "ROOMY").error is None and phases(restarts) == "pausing waiting waiting"
+    )
+    report_progress(restarts, "a", "paused")
+    assert record_event(restarts, "a", "ACT").error is not None  # it has not reported empty
+    report_progress(restarts, "a", "back")
+    assert phases(restarts) == "emptying waiting waiting"  # the process has not been replaced
+    report_progress(restarts, "a", "empty")
+    for unmet in (
         ClusterConditions(1, 0, 0, -1.0, 0.0),
         ClusterConditions(0, -1, 0, -1.0, 0.0),
         ClusterConditions(0, 0, 1, -1.0, 0.0),
@@ -1138,96 +1217,109 @@
         None,
     ):
         with pytest.raises(InvariantViolation):
-            step(made, "a", "ACT", facts=wrong)
-    assert step(made, "a", "HOLD").error is not None and step(made, "a", "LOST").error is not None
-    assert step(made, "a", "ACT").error is None and stands(made) == "acting waiting waiting"
-    again = RollingRestarts(Invariants())
-    again.load(msgspec.msgpack.decode(msgspec.msgpack.encode(made.dump())))
-    report(again, "a", "back")
-    assert stands(again) == "acting waiting waiting"  # and it is known which process that was
-    report(again, "a", "back", "p2")
-    assert stands(again) == "returning waiting waiting"  # its copies come next
-    assert step(again, "a", "LOST").error is not None  # it is waited for
-    report(again, "a", "whole", "p2")
-    assert stands(again) == "warming waiting waiting" and again.restarts["r"].gateways["a"].drain_count == 1
-    assert again.apply(4.0, CancelRollingRestart(id="6", restart="r")).error is None
-    assert stands(again) == "warming undone undone"
-
-
-def counted(wave: tuple[str, ...] = ("a",), **more: Any) -> ClusterConditions:
-    made = rolling(at_once=3)
-    given: dict[str, Any] = {
+            record_event(restarts, "a", "ACT", conditions=unmet)
+    assert (
+        record_event(restarts, "a", "HOLD").error is not None
+        and record_event(restarts, "a", "LOST").error is not None
+    )
+    assert record_event(restarts, "a", "ACT").error is None and phases(restarts) == "acting waiting waiting"
+    restored = RollingRestarts(Invariants())
+    restored.load(msgspec.msgpack.decode(msgspec.msgpack.encode(restarts.dump())))
+    report_progress(restored, "a", "back")
+    assert phases(restored) == "acting waiting waiting"  # the snapshot has the earlier process
+    report_progress(restored, "a", "back", "p2")
+    assert phases(restored) == "returning waiting waiting"  # its replicas have to catch up
+    # Only a cancelled restart gives up on a gateway.
+    assert record_event(restored, "a", "LOST").error is not None
+    report_progress(restored, "a", "whole", "p2")
+    assert (
+        phases(restored) == "warming waiting waiting"
+        and restored.restarts["r"].gateways["a"].drain_count == 1
+    )
+    assert restored.apply(4.0, CancelRollingRestart(id="6", restart="r")).error is None
+    assert phases(restored) == "warming undone undone"
+
+
+def observed_conditions(wave: tuple[str, ...] = ("a",), **overrides: Any) -> ClusterConditions:
+    restarts = planned_restart(at_once=3)
+    fields: dict[str, Any] = {
         "alive": frozenset({"a/1", "b/1", "c/1", "d/1"}),
         "zones": {"a": "x", "b": "y", "c": "y", "d": "y"},
         "load": {},
         "behind": {},
         "groups": {"g0": ("b/1", "c/1", "d/1")},
-        **more,
+        **overrides,
     }
-    view = LeaderView(now=0.0, wall=0.0, me="d/1", lead_since=0.0, timings=Timings(), dead_for_ms={}, **given)
-    return observe_conditions(view, made.restarts["r"], wave)
+    view = LeaderView(
+        now=0.0, wall=0.0, me="d/1", lead_since=0.0, timings=Timings(), dead_for_ms={}, **fields
+    )
+    return observe_conditions(view, restarts.restarts["r"], wave)
 
 
-def test_what_a_wave_leaves_is_counted() -> None:
-    assert counted(("b",)) == ClusterConditions(0, 0, 0, -1.0, 0.0)
-    assert counted(("a",)).emptied_zones == 1  # the only one of its hall
-    assert counted(("b", "c")).spare_voters == -1
-    assert counted(("b",), alive=frozenset({"a/1", "b/1", "d/1"})).missing_copies == 1
-    assert counted(("b",), behind={"g0": ("c/1",)}).missing_copies == 1
-    assert counted(("b",), load={"capacity": 100.0, "demand": 20.0, "promised": 5.0}) == ClusterConditions(
-        0, 0, 0, 75.0, 25.0
-    )
+def test_conditions_count_what_remains_without_a_wave() -> None:
+    assert observed_conditions(("b",)) == ClusterConditions(0, 0, 0, -1.0, 0.0)
+    assert observed_conditions(("a",)).emptied_zones == 1  # the only gateway of its zone
+    assert observed_conditions(("b", "c")).spare_voters == -1
+    assert observed_conditions(("b",), alive=frozenset({"a/1", "b/1", "d/1"})).missing_copies == 1
+    assert observed_conditions(("b",), behind={"g0": ("c/1",)}).missing_copies == 1
+    assert observed_conditions(
+        ("b",), load={"capacity": 100.0, "demand": 20.0, "promised": 5.0}
+    ) == ClusterConditions(0, 0, 0, 75.0, 25.0)
 
 
-def looked(made: RollingRestarts, wall: float, **more: Any) -> list[Any]:
-    given: dict[str, Any] = {
+def leader_proposals(restarts: RollingRestarts, wall: float, **overrides: Any) -> list[Any]:
+    fields: dict[str, Any] = {
         "alive": frozenset({"a/1", "b/1", "c/1", "d/1"}),
         "behind": {},
         "zones": dict.fromkeys("abcd", "x"),
         "groups": {"g0": ("b/1", "c/1", "d/1")},
         "dead_for_ms": {},
-        **more,
+        **overrides,
     }
-    return made.leader_tasks(
-        LeaderView(now=wall, wall=wall, me="d/1", lead_since=0.0, timings=Timings(), load={}, **given)
+    return restarts.leader_tasks(
+        LeaderView(now=wall, wall=wall, me="d/1", lead_since=0.0, timings=Timings(), load={}, **fields)
     )
 
 
-def test_a_leader_takes_no_step_before_its_time() -> None:
-    made = rolling(at_once=3)
-    first = looked(made, 1.0)[0]
-    assert first.gateways == ("a", "b")  # with c a group would be left without its majority
-    assert made.apply(1.0, first).error is None
-    assert looked(made, 2.0) == []  # one wave at a time
+def test_a_leader_proposes_no_event_before_its_conditions_hold() -> None:
+    restarts = planned_restart(at_once=3)
+    first = leader_proposals(restarts, 1.0)[0]
+    assert first.gateways == ("a", "b")  # with c, a group would lose its majority
+    assert restarts.apply(1.0, first).error is None
+    assert leader_proposals(restarts, 2.0) == []  # one wave at a time
     for name in ("a", "b"):
-        report(made, name, "ready")
-    ready = 3.0 + GROWTH_MARGIN_MS + made.restarts["r"].poll_interval_ms()
-    assert looked(made, ready - 5.0) == []
-    assert [one.gateway for one in looked(made, ready + 5.0)] == ["a"]  # the others have grown; one at a time
+        report_progress(restarts, name, "ready")
+    ready_ms = 3.0 + GROWTH_MARGIN_MS + restarts.restarts["r"].poll_interval_ms()
+    assert leader_proposals(restarts, ready_ms - 5.0) == []
+    # The other gateways have opened more connections; one event at a time.
+    assert [command.gateway for command in leader_proposals(restarts, ready_ms + 5.0)] == ["a"]
     for name in ("a", "b"):
-        step(made, name, "ROOMY")
-        report(made, name, "paused")
-        report(made, name, "empty")
-        step(made, name, "ACT")
-        for what in ("back", "whole"):
-            report(made, name, what, "p2")
-    assert stands(made) == "warming warming waiting"
-    assert looked(made, 50.0) == [] and [one.event for one in looked(made, 54.0)] == ["WARM", "WARM"]
-    made = rolling()
-    assert wave(made, "b").error is None
+        record_event(restarts, name, "ROOMY")
+        report_progress(restarts, name, "paused")
+        report_progress(restarts, name, "empty")
+        record_event(restarts, name, "ACT")
+        for progress in ("back", "whole"):
+            report_progress(restarts, name, progress, "p2")
+    assert phases(restarts) == "warming warming waiting"
+    assert leader_proposals(restarts, 50.0) == [] and [
+        command.event for command in leader_proposals(restarts, 54.0)
+    ] == ["WARM", "WARM"]
+    restarts = planned_restart()
+    assert start_wave(restarts, "b").error is None
     alive = frozenset({"a/1", "c/1", "d/1"})
-    assert [one.cause for one in looked(made, 2.0, alive=alive, dead_for_ms={"b/1": 0.0})] == [
-        "b is dead while granting"
-    ]  # at once; who left in order is not dead
-    assert looked(made, 2.0, alive=alive) == []
-
-
-def test_a_gateway_goes_by_a_fresh_reading_and_by_its_own_process() -> None:
-    def read(process: str, at: float) -> RollingRestartAgent:
-        rolled = RollingRestartAgent("a", process)
-        command = rolled.poll(at, 0.0)[0]
-        rolled.answered(
-            at + 10.0,
+    # It pauses without a delay; a gateway that ended as planned is not dead.
+    assert [
+        command.cause for command in leader_proposals(restarts, 2.0, alive=alive, dead_for_ms={"b/1": 0.0})
+    ] == ["b is dead while granting"]
+    assert leader_proposals(restarts, 2.0, alive=alive) == []
+
+
+def test_a_gateway_acts_only_on_a_fresh_assignment_of_its_own_process() -> None:
+    def agent_after_read(process: str, at_ms: float) -> RollingRestartAgent:
+        agent = RollingRestartAgent("a", process)
+        command = agent.poll(at_ms, 0.0)[0]
+        agent.answered(
+            at_ms + 10.0,
             command,
             ApplyResult(
                 {
@@ -1241,134 +1333,144 @@
                 }
             ),
         )
-        return rolled
+        return agent
 
-    assert read("p1", 0.0).next_actions(MAX_ASSIGNMENT_AGE_MS + 1.0) == []  # what it knows may be over
+    # The assignment is stale.
+    assert agent_after_read("p1", 0.0).next_actions(MAX_ASSIGNMENT_AGE_MS + 1.0) == []
     assert (
-        read("p1", 0.0).next_actions(MAX_ASSIGNMENT_AGE_MS - 1.0) == [DesiredState.PAUSE]
-        and read("p2", 0.0).next_actions(1.0) == []
+        agent_after_read("p1", 0.0).next_actions(MAX_ASSIGNMENT_AGE_MS - 1.0) == [DesiredState.PAUSE]
+        and agent_after_read("p2", 0.0).next_actions(1.0) == []
     )
-    assert read("p1", 0.0).must_not_lead and not read("p2", 0.0).must_not_lead
+    assert agent_after_read("p1", 0.0).must_not_lead and not agent_after_read("p2", 0.0).must_not_lead
 
 
-# Connections
-# -----------------------------------------------------------------------------------------------------------
+# Connection limits
+# ----------------------------------------------------------------------------------------------------------
 
 
-def limited(most: int = 10) -> ConnectionLimits:
-    made = ConnectionLimits(Invariants(), Timings())
+def limits_for_one_server(max_connections: int = 10) -> ConnectionLimits:
+    limits = ConnectionLimits(Invariants(), Timings())
     assert (
-        made.apply(
-            0.0, SetConnectionLimit(id="l", server="s", max_connections=most, idle_timeout_ms=5000.0)
+        limits.apply(
+            0.0,
+            SetConnectionLimit(id="l", server="s", max_connections=max_connections, idle_timeout_ms=5000.0),
         ).error
         is None
     )
-    return made
+    return limits
 
 
-def keeper(begun: float = 0.0, number: int = 1, alone: bool = True) -> ConnectionLeaseHolder:
-    made = ConnectionLeaseHolder(f"a/1#boot.{number}", Timings(), Invariants(), begun, alone)
-    made.set_need("s", 4)
-    return made
+def lease_holder(
+    started_ms: float = 0.0, number: int = 1, only_process: bool = True
+) -> ConnectionLeaseHolder:
+    holder = ConnectionLeaseHolder(f"a/1#boot.{number}", Timings(), Invariants(), started_ms, only_process)
+    holder.set_need("s", 4)
+    return holder
 
 
-def leased(
-    made: ConnectionLeaseHolder, part: ConnectionLimits, asked: float = 0.0, answered: float = 0.0
+def exchange_lease_request(
+    holder: ConnectionLeaseHolder, limits: ConnectionLimits, sent_ms: float = 0.0, answered_ms: float = 0.0
 ) -> RequestConnectionLeases:
-    command = made.poll(asked, 0.0)[0]
+    command = holder.poll(sent_ms, 0.0)[0]
     assert isinstance(command, RequestConnectionLeases)
-    made.answered(answered, command, part.apply(0.0, command))
+    holder.answered(answered_ms, command, limits.apply(0.0, command))
     return command
 
 
-def test_a_lease_on_connections_counts_from_before_it_was_asked_for() -> None:
-    made, life = keeper(), Timings().lease_ms * LEASE_MULTIPLE
-    leased(made, limited(), 0.0, 1000.0)
-    assert made.lease_valid(life - 1.0, "s") and not made.lease_valid(life, "s")
-    assert made.may_open(life - CLOSE_BEFORE_EXPIRY_MS - 1.0, "s") and not made.may_open(
-        life - CLOSE_BEFORE_EXPIRY_MS, "s"
+def test_a_connection_lease_starts_when_its_request_was_sent() -> None:
+    holder, lease_ms = lease_holder(), Timings().lease_ms * LEASE_MULTIPLE
+    exchange_lease_request(holder, limits_for_one_server(), 0.0, 1000.0)
+    assert holder.lease_valid(lease_ms - 1.0, "s") and not holder.lease_valid(lease_ms, "s")
+    assert holder.may_open(lease_ms - CLOSE_BEFORE_EXPIRY_MS - 1.0, "s") and not holder.may_open(
+        lease_ms - CLOSE_BEFORE_EXPIRY_MS, "s"
     )
-    made.opened(1000.0, "s")
-    assert made.excess(life - CLOSE_BEFORE_EXPIRY_MS) == [("s", 1)] and not made.excess(
-        life - CLOSE_BEFORE_EXPIRY_MS - 1.0
+    holder.opened(1000.0, "s")
+    assert holder.excess(lease_ms - CLOSE_BEFORE_EXPIRY_MS) == [("s", 1)] and not holder.excess(
+        lease_ms - CLOSE_BEFORE_EXPIRY_MS - 1.0
     )
 
 
-def test_a_lost_holders_connections_wait_for_lease_and_idle_time_by_the_slowest_clock() -> None:
-    times = Timings()
-    both = times.lease_ms * LEASE_MULTIPLE + 5000.0
-    assert limited().expiry_after_ms(5000.0) >= both * (1.0 + times.clock_drift) / (1.0 - times.clock_drift)
+def test_a_lost_holders_lease_expires_after_lease_and_idle_timeout_by_the_slowest_clock() -> None:
+    timings = Timings()
+    lease_and_idle_ms = timings.lease_ms * LEASE_MULTIPLE + 5000.0
+    assert limits_for_one_server().expiry_after_ms(5000.0) >= lease_and_idle_ms * (
+        1.0 + timings.clock_drift
+    ) / (1.0 - timings.clock_drift)
 
 
-def test_what_is_not_known_is_asked_again_as_it_was() -> None:
-    made = keeper()
-    command = made.poll(0.0, 0.0)[0]
-    made.answered(10.0, command, UnknownOutcome("g0", "no answer"))
-    made.set_need("s", 9)
-    assert made.poll(5000.0, 0.0) == [command]
-    made.answered(5000.0, command, limited().apply(0.0, command))
-    assert (
-        made.servers["s"].lease_expires_ms == Timings().lease_ms * LEASE_MULTIPLE
-    )  # from when it was made first
+def test_a_call_with_an_unknown_outcome_is_repeated_unchanged() -> None:
+    holder = lease_holder()
+    command = holder.poll(0.0, 0.0)[0]
+    holder.answered(10.0, command, UnknownOutcome("g0", "no answer"))
+    holder.set_need("s", 9)
+    assert holder.poll(5000.0, 0.0) == [command]
+    holder.answered(5000.0, command, limits_for_one_server().apply(0.0, command))
+    # Counted from the first attempt.
+    assert holder.servers["s"].lease_expires_ms == Timings().lease_ms * LEASE_MULTIPLE
 
 
-def test_a_part_goes_back_without_the_connections_that_are_open() -> None:
-    made, part = keeper(), limited()
-    leased(made, part)
+def test_a_draining_gateway_keeps_the_share_of_its_open_connections() -> None:
+    holder, limits = lease_holder(), limits_for_one_server()
+    exchange_lease_request(holder, limits)
     for _ in range(3):
-        made.opened(1.0, "s")
-    assert not made.empty
-    made.set_need("s", 0)
-    made.draining = True
-    asked = leased(made, part, 4000.0, 4000.0).requests[0]
-    assert asked.keep == 3 and part.servers["s"].pool.granted() >= 3.0
+        holder.opened(1.0, "s")
+    assert not holder.empty
+    holder.set_need("s", 0)
+    holder.draining = True
+    request = exchange_lease_request(holder, limits, 4000.0, 4000.0).requests[0]
+    assert request.keep == 3 and limits.servers["s"].pool.granted() >= 3.0
     for _ in range(2):
-        made.closing("s")
-        made.closed("s", already_closing=True)
-    made.closing("s")
-    made.closed("s")  # its end came by itself, while it was being closed
-    assert made.servers["s"].open == made.servers["s"].closing == 0
-    assert not made.empty  # it holds a lease yet
-    leased(made, part, 8000.0, 8000.0)
-    assert made.empty and part.servers["s"].pool.granted() == 0.0
+        holder.closing("s")
+        holder.closed("s", already_closing=True)
+    holder.closing("s")
+    holder.closed("s")  # the server closed it while it was being closed here
+    assert holder.servers["s"].open == holder.servers["s"].closing == 0
+    assert not holder.empty  # it still holds a lease
+    exchange_lease_request(holder, limits, 8000.0, 8000.0)
+    assert holder.empty and limits.servers["s"].pool.granted() == 0.0
 
 
 @pytest.mark.parametrize(
-    ("row", "may", "over"),
+    ("lease", "may_open", "excess"),
     [
-        (
-            ["s", LeaseRefusal.LEASE_EXPIRED.value, 0, 0, 0],
-            False,
-            2,
-        ),  # the lease is over: nothing may be open
-        (["s", 5, 6, 2, 0], False, 0),  # above its aim it opens no more
+        # the lease has expired: nothing may be open
+        (["s", LeaseRefusal.LEASE_EXPIRED.value, 0, 0, 0], False, 2),
+        (["s", 5, 6, 2, 0], False, 0),  # at its target it opens no more
         (["s", 5, 6, 1, 0], False, 1),
         (["s", 5, 6, 3, 0], True, 0),
     ],
 )
-def test_a_gateway_goes_by_its_aim_and_by_the_end_of_its_lease(row: list[Any], may: bool, over: int) -> None:
-    made, part = keeper(), limited()
-    leased(made, part)
+def test_a_gateway_opens_connections_up_to_its_target_and_until_its_lease_ends(
+    lease: list[Any], may_open: bool, excess: int
+) -> None:
+    holder, limits = lease_holder(), limits_for_one_server()
+    exchange_lease_request(holder, limits)
     for _ in range(2):
-        made.opened(1.0, "s")
-    command = made.poll(4000.0, 0.0)[0]
-    made.answered(4000.0, command, ApplyResult({"parts": [row], "old": []}))
-    assert made.may_open(4001.0, "s") is may and sum(count for _, count in made.excess(4001.0)) == over
+        holder.opened(1.0, "s")
+    command = holder.poll(4000.0, 0.0)[0]
+    holder.answered(4000.0, command, ApplyResult({"parts": [lease], "old": []}))
+    assert (
+        holder.may_open(4001.0, "s") is may_open
+        and sum(count for _, count in holder.excess(4001.0)) == excess
+    )
 
 
-def test_a_process_vouches_for_the_one_before_alone_and_not_at_once() -> None:
-    part = limited()
-    leased(keeper(), part)
-    for sole, at, ends in (
+def test_only_a_sole_process_releases_the_leases_of_an_earlier_one_and_after_a_delay() -> None:
+    limits = limits_for_one_server()
+    exchange_lease_request(lease_holder(), limits)
+    for only_process, at_ms, released in (
         (True, KERNEL_RESET_MS - 1.0, False),
         (True, KERNEL_RESET_MS, True),
         (False, 2.0 * KERNEL_RESET_MS, False),
     ):
-        made = keeper(0.0, 2, sole)
-        leased(made, again(part), 1.0, 2.0)
-        made.set_need("s", 0)
-        assert any(isinstance(one, ReleaseConnectionLeases) for one in made.poll(at, 0.0)) is ends
-    elsewhere = ReleaseConnectionLeases(
+        holder = lease_holder(0.0, 2, only_process)
+        exchange_lease_request(holder, restored_copy(limits), 1.0, 2.0)
+        holder.set_need("s", 0)
+        assert (
+            any(isinstance(command, ReleaseConnectionLeases) for command in holder.poll(at_ms, 0.0))
+            is released
+        )
+    by_other_boot = ReleaseConnectionLeases(
         id="e",
         holder="a/1#boot.1",
         bucket=server_bucket("s"),
@@ -1376,97 +1478,100 @@
         proof="reset",
         reported_by="a/1#reboot.2",
     )
-    assert part.apply(0.0, elsewhere).error is not None and part.servers["s"].pool.granted() > 0.0
+    assert limits.apply(0.0, by_other_boot).error is not None and limits.servers["s"].pool.granted() > 0.0
 
 
-def again(part: ConnectionLimits) -> ConnectionLimits:
-    """From its snapshot."""
-    made = ConnectionLimits(Invariants(), Timings())
-    made.load(msgspec.msgpack.decode(msgspec.msgpack.encode(part.dump())))
-    assert made.dump() == part.dump()
-    return made
+def restored_copy(limits: ConnectionLimits) -> ConnectionLimits:
+    """A copy restored from the snapshot."""
+    restored = ConnectionLimits(Invariants(), Timings())
+    restored.load(msgspec.msgpack.decode(msgspec.msgpack.encode(limits.dump())))
+    assert restored.dump() == limits.dump()
+    return restored
 
 
 def test_limits_change_without_forgetting_what_is_granted() -> None:
-    part = limited()
-    leased(keeper(), part)
-    granted = part.servers["s"].pool.granted()
+    limits = limits_for_one_server()
+    exchange_lease_request(lease_holder(), limits)
+    granted = limits.servers["s"].pool.granted()
     assert (
-        part.apply(
+        limits.apply(
             0.0, SetConnectionLimit(id="m", server="s", max_connections=1, idle_timeout_ms=5000.0)
         ).error
         is None
     )
-    assert part.servers["s"].pool.granted() == granted > 1.0
-    other = ConnectionLeaseHolder("b/1#x.1", Timings(), Invariants(), 0.0)
-    other.set_need("s", 4)
-    leased(other, part)
-    assert part.servers["s"].pool.granted() == granted
-    part.apply(0.0, RemoveConnectionLimit(id="u", server="s"))
-    assert part.servers["s"].pool.granted() == granted  # it is known until all of it has come back
+    assert limits.servers["s"].pool.granted() == granted > 1.0
+    other_holder = ConnectionLeaseHolder("b/1#x.1", Timings(), Invariants(), 0.0)
+    other_holder.set_need("s", 4)
+    exchange_lease_request(other_holder, limits)
+    assert limits.servers["s"].pool.granted() == granted
+    limits.apply(0.0, RemoveConnectionLimit(id="u", server="s"))
+    assert limits.servers["s"].pool.granted() == granted  # the entry is kept until all leases are returned
 
 
 # Contracts
-# -------------------------------------------------------------------------------------------------------------
+# ----------------------------------------------------------------------------------------------------------
 
 TERMS: dict[str, Any] = {"tenant": "t", "customers": [1], "rate": 50.0, "burst": 10.0}
 SPAN = Interval(20_000.0, 60_000.0)
 
 
-def admitted(units: float = 100.0) -> ContractRegistry:
-    """60 units a second over SPAN, as version 1."""
-    made = ContractRegistry(Timings(), Invariants())
-    asked = msgspec.convert({**TERMS, "rate": 60.0, "windows": [Window(*SPAN)]}, ContractTerms)
+def registry_with_contract(capacity: float = 100.0) -> ContractRegistry:
+    """A registry with a contract of 60 units a second over SPAN, at version 1."""
+    registry = ContractRegistry(Timings(), Invariants())
+    terms = msgspec.convert({**TERMS, "rate": 60.0, "windows": [Window(*SPAN)]}, ContractTerms)
     for command in (
-        SetCapacity(id="1", capacity=units, reserve_fraction=0.0, unreserved_rate=0.0),
-        ProposeContract(id="2", contract="c", terms=asked),
+        SetCapacity(id="1", capacity=capacity, reserve_fraction=0.0, unreserved_rate=0.0),
+        ProposeContract(id="2", contract="c", terms=terms),
     ):
-        assert made.apply(0.0, command).error is None
-    return made
+        assert registry.apply(0.0, command).error is None
+    return registry
 
 
-def test_a_version_goes_when_the_next_one_is_told_and_by_no_word_of_an_older() -> None:
-    made = admitted()
-    held = made.contracts["c"]
-    changed = msgspec.structs.replace(held.newest.terms, rate=30.0)
+def test_a_version_is_dropped_when_the_next_one_is_confirmed_and_not_by_a_stale_confirmation() -> None:
+    registry = registry_with_contract()
+    contract = registry.contracts["c"]
+    changed_terms = msgspec.structs.replace(contract.newest.terms, rate=30.0)
     assert (
-        made.apply(1.0, ChangeContract(id="3", contract="c", terms=changed, effective_from_ms=30_000.0)).error
+        registry.apply(
+            1.0, ChangeContract(id="3", contract="c", terms=changed_terms, effective_from_ms=30_000.0)
+        ).error
         is None
     )
-    made.apply(2.0, VersionDrained(id="4", contract="c", version=1))
-    assert (held.confirmed_version, [one.number for one in held.versions]) == (1, [1, 2])
-    assert made.peak_reserved_rate(0.0, 1e6) == 60.0  # the dearer of the two counts
-    made.apply(3.0, VersionDrained(id="5", contract="c", version=2))
-    assert (held.confirmed_version, [one.number for one in held.versions]) == (2, [2])
+    registry.apply(2.0, VersionDrained(id="4", contract="c", version=1))
+    assert (contract.confirmed_version, [version.number for version in contract.versions]) == (1, [1, 2])
+    assert registry.peak_reserved_rate(0.0, 1e6) == 60.0  # the higher of the two rates counts
+    registry.apply(3.0, VersionDrained(id="5", contract="c", version=2))
+    assert (contract.confirmed_version, [version.number for version in contract.versions]) == (2, [2])
 
 
-def test_a_contract_is_armed_when_its_group_holds_it() -> None:
-    made = admitted()
-    made.apply(15_000.0, AdvanceContracts(id="p"))
-    assert made.contracts["c"].state.value == "admitted"
-    made.apply(15_001.0, VersionDrained(id="3", contract="c", version=1))
-    assert made.contracts["c"].state.value == "armed"
+def test_a_contract_is_armed_when_its_group_has_confirmed_it() -> None:
+    registry = registry_with_contract()
+    registry.apply(15_000.0, AdvanceContracts(id="p"))
+    assert registry.contracts["c"].state.value == "admitted"
+    registry.apply(15_001.0, VersionDrained(id="3", contract="c", version=1))
+    assert registry.contracts["c"].state.value == "armed"
 
 
-def test_what_was_promised_before_capacity_fell_stands_behind_a_snapshot() -> None:
-    made = admitted()
+def test_contracts_admitted_before_capacity_fell_are_kept_after_a_snapshot() -> None:
+    registry = registry_with_contract()
     assert (
-        made.apply(1.0, SetCapacity(id="3", capacity=30.0, reserve_fraction=0.0, unreserved_rate=5.0)).error
+        registry.apply(
+            1.0, SetCapacity(id="3", capacity=30.0, reserve_fraction=0.0, unreserved_rate=5.0)
+        ).error
         is None
     )
-    other = ContractRegistry(Timings(), Invariants())
-    other.load(msgspec.msgpack.decode(msgspec.msgpack.encode(made.dump())))
-    assert (
-        other.apply(2.0, VersionDrained(id="4", contract="c", version=1)).error is None
-    )  # and no rule is broken
-    assert other.available() == made.available() == 25.0
-
-
-def opened_floors(*versions: tuple[int, float, float], at_ms: float = 0.0) -> GuaranteedRates:
-    """Versions by number, rate, and the moment from which they hold."""
-    made = GuaranteedRates(Timings(), Invariants())
-    for number, rate, holds_from in versions:
-        made.apply(
+    restored = ContractRegistry(Timings(), Invariants())
+    restored.load(msgspec.msgpack.decode(msgspec.msgpack.encode(registry.dump())))
+    # No invariant is broken either.
+    assert restored.apply(2.0, VersionDrained(id="4", contract="c", version=1)).error is None
+    assert restored.available() == registry.available() == 25.0
+
+
+def guaranteed_rates(*versions: tuple[int, float, float], at_ms: float = 0.0) -> GuaranteedRates:
+    """Guaranteed rates of these versions: number, rate, and time from which each is effective."""
+    rates = GuaranteedRates(Timings(), Invariants())
+    for number, rate, effective_from_ms in versions:
+        rates.apply(
             at_ms,
             OpenContract(
                 id=f"o{number}",
@@ -1476,46 +1581,51 @@
                 rate=rate,
                 burst=10.0,
                 intervals=(SPAN,),
-                effective_from_ms=holds_from,
+                effective_from_ms=effective_from_ms,
             ),
         )
-    return made
+    return rates
 
 
-def lease(
-    made: GuaranteedRates, at_ms: float, order: int, number: int, wish: float, keep: float = 0.0
+def request_lease(
+    rates: GuaranteedRates,
+    at_ms: float,
+    sequence: int,
+    lease_number: int,
+    wanted_rate: float,
+    kept_rate: float = 0.0,
 ) -> Any:
-    result = made.apply(
+    result = rates.apply(
         at_ms,
         RequestLease(
-            id=f"l{order}",
+            id=f"l{sequence}",
             tenant="t",
             contract="c",
             holder="a/1",
-            lease_number=number,
-            kept_rate=keep,
-            wanted_rate=wish,
+            lease_number=lease_number,
+            kept_rate=kept_rate,
+            wanted_rate=wanted_rate,
             returned_units=0.0,
             process="p",
-            sequence=order,
+            sequence=sequence,
         ),
     )
     assert result.error is None, result.error
     return result.value
 
 
-def words(made: GuaranteedRates, now: float, wall: float) -> list[str]:
+def proposed_commands(rates: GuaranteedRates, now: float, wall: float) -> list[str]:
     view = LeaderView(now, wall, "a/1", 0.0, Timings(), frozenset(), {}, {}, {}, {}, {})
-    return [one.command_name() for one in made.leader_tasks(view)]
+    return [command.command_name() for command in rates.leader_tasks(view)]
 
 
-def test_an_older_version_that_comes_late_changes_nothing_and_none_is_forgotten_before_its_window() -> None:
-    made = opened_floors((1, 60.0, 0.0), (3, 30.0, 25_000.0), (2, 90.0, 25_000.0))
-    coming = made.contracts["c"].pending
-    assert made.contracts["c"].version == 1 and coming is not None and coming.version == 3
-    made = opened_floors((2, 60.0, 0.0), (1, 90.0, 0.0))
-    assert (made.contracts["c"].version, made.contracts["c"].rate) == (2, 60.0)
-    made.apply(
+def test_a_late_older_version_changes_nothing_and_contracts_are_kept_before_their_window() -> None:
+    rates = guaranteed_rates((1, 60.0, 0.0), (3, 30.0, 25_000.0), (2, 90.0, 25_000.0))
+    pending = rates.contracts["c"].pending
+    assert rates.contracts["c"].version == 1 and pending is not None and pending.version == 3
+    rates = guaranteed_rates((2, 60.0, 0.0), (1, 90.0, 0.0))
+    assert (rates.contracts["c"].version, rates.contracts["c"].rate) == (2, 60.0)
+    rates.apply(
         1.0,
         OpenContract(
             id="x",
@@ -1528,30 +1638,30 @@
             effective_from_ms=0.0,
         ),
     )
-    assert list(made.contracts) == ["c", "d"]
+    assert list(rates.contracts) == ["c", "d"]
 
 
-def test_parts_are_granted_within_a_window_and_end_behind_the_margin() -> None:
-    made = opened_floors((1, 60.0, 0.0))
-    assert lease(made, SPAN[0] - GRANT_AHEAD_MS - 1.0, 1, 0, 60.0)["part"] == 0.0
-    made = opened_floors((1, 60.0, 0.0))
-    granted = lease(made, SPAN[0] - 1.0, 1, 0, 60.0)
+def test_shares_are_granted_within_a_window_and_expire_after_the_clock_drift_margin() -> None:
+    rates = guaranteed_rates((1, 60.0, 0.0))
+    assert request_lease(rates, SPAN[0] - GRANT_AHEAD_MS - 1.0, 1, 0, 60.0)["part"] == 0.0
+    rates = guaranteed_rates((1, 60.0, 0.0))
+    granted = request_lease(rates, SPAN[0] - 1.0, 1, 0, 60.0)
     assert granted["part"] == 60.0 and granted["from_ms"] == SPAN[0]
-    made.seen(1000.0)
-    times = Timings()
-    margin = times.lease_ms * (1.0 + times.clock_drift) / (1.0 - times.clock_drift)
-    assert "EndLease" not in words(made, 1000.0 + margin - 1.0, SPAN[0])
-    assert "EndLease" in words(made, 1000.0 + margin, SPAN[0])
-    assert lease(made, SPAN[1], 2, 1, 60.0)["part"] == 0.0
+    rates.seen(1000.0)
+    timings = Timings()
+    margin = timings.lease_ms * (1.0 + timings.clock_drift) / (1.0 - timings.clock_drift)
+    assert "EndLease" not in proposed_commands(rates, 1000.0 + margin - 1.0, SPAN[0])
+    assert "EndLease" in proposed_commands(rates, 1000.0 + margin, SPAN[0])
+    assert request_lease(rates, SPAN[1], 2, 1, 60.0)["part"] == 0.0
 
 
 @pytest.mark.parametrize("rate", [30.0, 90.0])
-def test_a_version_is_told_when_no_lease_of_the_one_before_is_left_behind_a_snapshot_as_well(
+def test_a_version_is_confirmed_when_no_lease_of_the_previous_one_remains_also_after_a_snapshot(
     rate: float,
 ) -> None:
-    made = opened_floors((1, 60.0, 0.0))
-    granted = lease(made, 20_000.0, 1, 0, 60.0)
-    made.apply(
+    rates = guaranteed_rates((1, 60.0, 0.0))
+    granted = request_lease(rates, 20_000.0, 1, 0, 60.0)
+    rates.apply(
         20_001.0,
         OpenContract(
             id="o2",
@@ -1564,211 +1674,227 @@
             effective_from_ms=25_000.0,
         ),
     )
-    renewed = lease(made, 20_002.0, 2, granted["number"], 60.0, 60.0)
-    assert (renewed["until_ms"], renewed["then"]) == (25_000.0, min(rate / 60.0, 1.0))  # it shrinks by itself
-    made.apply(25_000.0, SwitchVersion(id="turn", tenant="t", contract="c"))
-    other = GuaranteedRates(Timings(), Invariants())
-    other.load(msgspec.msgpack.decode(msgspec.msgpack.encode(made.dump())))
-    for one in (made, other):
-        assert one.contracts["c"].version == 2 and "Told" not in words(one, 10.0, 25_000.0)
-        assert (
-            lease(one, 25_001.0, 2, granted["number"], 60.0, 60.0) == renewed
-        )  # a repeat is answered as it was
-        lease(one, 25_002.0, 3, renewed["number"], rate, min(rate, 60.0))
-        assert "Told" in words(one, 20.0, 25_002.0)
-
-
-def test_what_a_lost_holder_had_is_gone() -> None:
-    whole, rules = LeasePool(10.0, 8.0), Invariants()
-    granted = whole.request(LeaseRequest("a", 0, 0.0, 10.0, 0.0, 0.0, 8.0), rules)
+    renewed = request_lease(rates, 20_002.0, 2, granted["number"], 60.0, 60.0)
+    # The share shrinks without a renewal.
+    assert (renewed["until_ms"], renewed["then"]) == (25_000.0, min(rate / 60.0, 1.0))
+    rates.apply(25_000.0, SwitchVersion(id="turn", tenant="t", contract="c"))
+    restored = GuaranteedRates(Timings(), Invariants())
+    restored.load(msgspec.msgpack.decode(msgspec.msgpack.encode(rates.dump())))
+    for either in (rates, restored):
+        assert either.contracts["c"].version == 2 and "Told" not in proposed_commands(either, 10.0, 25_000.0)
+        # A repeated request gets its first answer.
+        assert request_lease(either, 25_001.0, 2, granted["number"], 60.0, 60.0) == renewed
+        request_lease(either, 25_002.0, 3, renewed["number"], rate, min(rate, 60.0))
+        assert "Told" in proposed_commands(either, 20.0, 25_002.0)
+
+
+def test_units_of_a_lost_holder_do_not_return_to_the_pool() -> None:
+    pool, invariants = LeasePool(10.0, 8.0), Invariants()
+    granted = pool.request(LeaseRequest("a", 0, 0.0, 10.0, 0.0, 0.0, 8.0), invariants)
     assert not isinstance(granted, InvalidCall | LeaseExpired) and granted.units > 0.0
-    free = whole.free_units
-    whole.release("a", granted.number)
-    assert whole.free_units == free
+    free_units = pool.free_units
+    pool.release("a", granted.number)
+    assert pool.free_units == free_units
 
 
 def test_two_changes_never_overlap_and_a_tenants_contracts_are_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(admission, "MAX_CONTRACTS_PER_TENANT", 1)
-    made = admitted()
-    terms = made.contracts["c"].newest.terms
+    registry = registry_with_contract()
+    terms = registry.contracts["c"].newest.terms
     first, second = (msgspec.structs.replace(terms, rate=rate) for rate in (30.0, 20.0))
     assert (
-        made.apply(1.0, ChangeContract(id="3", contract="c", terms=first, effective_from_ms=30_000.0)).error
+        registry.apply(
+            1.0, ChangeContract(id="3", contract="c", terms=first, effective_from_ms=30_000.0)
+        ).error
         is None
     )
-    again = made.apply(2.0, ChangeContract(id="4", contract="c", terms=second, effective_from_ms=30_000.0))
-    assert isinstance(again.error, WrongState)
-    more = made.apply(
+    overlapping_change = registry.apply(
+        2.0, ChangeContract(id="4", contract="c", terms=second, effective_from_ms=30_000.0)
+    )
+    assert isinstance(overlapping_change.error, WrongState)
+    second_contract = registry.apply(
         3.0, ProposeContract(id="5", contract="d", terms=msgspec.structs.replace(terms, rate=1.0))
     )
-    assert isinstance(more.error, Overloaded)
+    assert isinstance(second_contract.error, Overloaded)
 
 
-class Gate:
-    """One gateway's floor with both groups beside it; customer 1 asks."""
+class ReservationGateway:
+    """A gateway's reservation client with the state of both groups; requests are customer 1's."""
 
-    def __init__(self, hall: str = "", of: str = "") -> None:
-        self.floor, self.floors = (
-            ReservationClient("a/1", "p", Timings(), hall),
-            opened_floors((1, 60.0, 0.0)),
+    def __init__(self, zone: str = "", contract_zone: str = "") -> None:
+        self.client, self.rates = (
+            ReservationClient("a/1", "p", Timings(), zone),
+            guaranteed_rates((1, 60.0, 0.0)),
         )
-        self.contracts = ContractRegistry(Timings(), Invariants())
-        asked = msgspec.convert(
-            {**TERMS, "rate": 60.0, "hall": of, "windows": [Window(*SPAN)]}, ContractTerms
+        self.registry = ContractRegistry(Timings(), Invariants())
+        terms = msgspec.convert(
+            {**TERMS, "rate": 60.0, "hall": contract_zone, "windows": [Window(*SPAN)]}, ContractTerms
         )
         for command in (
             SetCapacity(id="1", capacity=100.0, reserve_fraction=0.0, unreserved_rate=0.0),
-            ProposeContract(id="2", contract="c", terms=asked),
+            ProposeContract(id="2", contract="c", terms=terms),
             VersionDrained(id="3", contract="c", version=1),
         ):
-            assert self.contracts.apply(0.0, command).error is None
-
-    def turn(self, now: float, lost: type[Command] | None = None) -> list[Command]:
-        """What it asks for is answered at once; of one kind nobody knows."""
-        asked = self.floor.poll(now, now)
-        for one in asked:
-            if lost is not None and isinstance(one, lost):
-                self.floor.answered(now, one, UnknownOutcome("g0", "no answer"))
-            elif one.key():
-                self.floor.answered(now, one, self.floors.apply(now, one))
+            assert self.registry.apply(0.0, command).error is None
+
+    def exchange(self, now: float, unknown_type: type[Command] | None = None) -> list[Command]:
+        """Answer the client's commands immediately; those of type `unknown_type` get an unknown outcome."""
+        commands = self.client.poll(now, now)
+        for command in commands:
+            if unknown_type is not None and isinstance(command, unknown_type):
+                self.client.answered(now, command, UnknownOutcome("g0", "no answer"))
+            elif command.key():
+                self.client.answered(now, command, self.rates.apply(now, command))
             else:
-                self.floor.answered(
-                    now, one, self.contracts.query(one) if one.reads else self.contracts.apply(now, one)
+                self.client.answered(
+                    now,
+                    command,
+                    self.registry.query(command) if command.reads else self.registry.apply(now, command),
                 )
-        return asked
-
-    def ask(self, begin: float, end: float) -> int:
-        """A request each 10 ms, which waits for its turn; gives how many were drawn."""
-        drawn, now = 0, begin
-        while now < end:
-            if self.floor.take(now, 1, 0.5) is not None:
-                drawn += 1
+        return commands
+
+    def count_reserved(self, begin_ms: float, end_ms: float) -> int:
+        """Send a request every 10 ms, which waits if needed; returns how many got reserved units."""
+        reserved_count, now = 0, begin_ms
+        while now < end_ms:
+            if self.client.take(now, 1, 0.5) is not None:
+                reserved_count += 1
             else:
-                self.floor.wait(now, 1, 0.5, None)
-            self.turn(now)
-            drawn += sum(reserved is not None for _, reserved in self.floor.finished_waits(now))
+                self.client.wait(now, 1, 0.5, None)
+            self.exchange(now)
+            reserved_count += sum(reserved is not None for _, reserved in self.client.finished_waits(now))
             now += 10.0
-        return drawn
+        return reserved_count
 
 
-def test_a_gateway_uses_nothing_outside_of_its_hall_its_window_and_its_lease() -> None:
+def test_a_gateway_uses_nothing_outside_of_its_zone_its_window_and_its_lease() -> None:
     assert (
-        Gate("x", "y").ask(SPAN[0], SPAN[0] + 500.0) == 0
-        and Gate("x", "x").ask(SPAN[0], SPAN[0] + 500.0) > 20
+        ReservationGateway("x", "y").count_reserved(SPAN[0], SPAN[0] + 500.0) == 0
+        and ReservationGateway("x", "x").count_reserved(SPAN[0], SPAN[0] + 500.0) > 20
     )
-    made = Gate()
-    assert made.ask(SPAN[0] - 900.0, SPAN[0]) == 0
-    assert made.ask(SPAN[0], SPAN[0] + 1000.0) > 80
-    late = SPAN[1] - 500.0
-    assert made.ask(late, SPAN[1]) > 40 and made.floor.held_rate(SPAN[1] - 1.0) > 30.0
-    assert made.floor.held_rate(SPAN[1]) == 0.0 and made.floor.take(SPAN[1], 1, 0.5) is None
+    gateway = ReservationGateway()
+    assert gateway.count_reserved(SPAN[0] - 900.0, SPAN[0]) == 0
+    assert gateway.count_reserved(SPAN[0], SPAN[0] + 1000.0) > 80
+    late_ms = SPAN[1] - 500.0
+    assert gateway.count_reserved(late_ms, SPAN[1]) > 40 and gateway.client.held_rate(SPAN[1] - 1.0) > 30.0
+    assert gateway.client.held_rate(SPAN[1]) == 0.0 and gateway.client.take(SPAN[1], 1, 0.5) is None
 
 
 def test_before_a_window_a_bucket_does_not_fill() -> None:
-    made = Gate()
-    made.turn(SPAN[0] - 900.0)
-    made.turn(SPAN[0] - 890.0)
-    stake = made.floor.leases["c"]
-    assert stake.share > 0.0  # it could
-    stake.depth, stake.level = 5.0, 0.0
-    stake.fill(SPAN[0] - 1.0, SPAN[0] - 1.0)
-    assert stake.level == 0.0
-    stake.fill(SPAN[0] + 10.0, SPAN[0] + 10.0)
-    assert stake.level > 0.0
-
-
-def test_what_nobody_knows_is_asked_again_and_what_is_over_is_over() -> None:
-    made, begin = Gate(), SPAN[0] + 1000.0
-    assert made.ask(begin, begin + 500.0) > 20
+    gateway = ReservationGateway()
+    gateway.exchange(SPAN[0] - 900.0)
+    gateway.exchange(SPAN[0] - 890.0)
+    lease = gateway.client.leases["c"]
+    assert lease.share > 0.0  # it holds a share
+    lease.depth, lease.level = 5.0, 0.0
+    lease.fill(SPAN[0] - 1.0, SPAN[0] - 1.0)
+    assert lease.level == 0.0
+    lease.fill(SPAN[0] + 10.0, SPAN[0] + 10.0)
+    assert lease.level > 0.0
+
+
+def test_a_lease_request_with_an_unknown_outcome_is_repeated_and_an_expired_lease_is_not_used() -> None:
+    gateway, begin_ms = ReservationGateway(), SPAN[0] + 1000.0
+    assert gateway.count_reserved(begin_ms, begin_ms + 500.0) > 20
     first = next(
-        one
-        for at in range(100)
-        for one in made.turn(begin + 500.0 + 10.0 * at, RequestLease)
-        if isinstance(one, RequestLease)
+        command
+        for index in range(100)
+        for command in gateway.exchange(begin_ms + 500.0 + 10.0 * index, RequestLease)
+        if isinstance(command, RequestLease)
     )
     repeats = [
-        one
-        for at in range(20)
-        for one in made.turn(begin + 700.0 + 50.0 * at, RequestLease)
-        if isinstance(one, RequestLease)
+        command
+        for index in range(20)
+        for command in gateway.exchange(begin_ms + 700.0 + 50.0 * index, RequestLease)
+        if isinstance(command, RequestLease)
     ]
-    assert repeats and all(one == first for one in repeats)
-    made = Gate()
-    assert made.ask(begin, begin + 500.0) > 20 and made.floor.held_rate(begin + 500.0) > 0.0
+    assert repeats and all(command == first for command in repeats)
+    gateway = ReservationGateway()
+    assert (
+        gateway.count_reserved(begin_ms, begin_ms + 500.0) > 20
+        and gateway.client.held_rate(begin_ms + 500.0) > 0.0
+    )
     last = next(
-        one
-        for at in range(20)
-        for one in made.floor.poll(begin + 510.0 + 10.0 * at, begin + 510.0 + 10.0 * at)
-        if isinstance(one, RequestLease)
+        command
+        for index in range(20)
+        for command in gateway.client.poll(begin_ms + 510.0 + 10.0 * index, begin_ms + 510.0 + 10.0 * index)
+        if isinstance(command, RequestLease)
+    )
+    gateway.client.answered(begin_ms + 720.0, last, ApplyResult(error=LeaseExpired("a/1", "it is over")))
+    assert (
+        gateway.client.held_rate(begin_ms + 720.0) == 0.0
+        and gateway.client.take(begin_ms + 720.0, 1, 0.5) is None
     )
-    made.floor.answered(begin + 720.0, last, ApplyResult(error=LeaseExpired("a/1", "it is over")))
-    assert made.floor.held_rate(begin + 720.0) == 0.0 and made.floor.take(begin + 720.0, 1, 0.5) is None
 
 
-def test_a_request_that_has_no_turn_in_time_is_an_ordinary_one() -> None:
-    made, begin = Gate(), SPAN[0] + 1000.0
-    for at in range(3):
-        made.turn(begin + 10.0 * at)
-    stake = made.floor.leases["c"]
-    stake.share = stake.level = 0.0
-    assert made.floor.take(begin + 40.0, 1, 0.5) is None and made.floor.wait(begin + 40.0, 1, 0.5, "token")
-    assert made.floor.finished_waits(begin + 41.0 + MAX_WAIT_MS) == [("token", None)]
+def test_a_request_that_waits_too_long_gets_no_reserved_units() -> None:
+    gateway, begin_ms = ReservationGateway(), SPAN[0] + 1000.0
+    for index in range(3):
+        gateway.exchange(begin_ms + 10.0 * index)
+    lease = gateway.client.leases["c"]
+    lease.share = lease.level = 0.0
+    assert gateway.client.take(begin_ms + 40.0, 1, 0.5) is None and gateway.client.wait(
+        begin_ms + 40.0, 1, 0.5, "token"
+    )
+    assert gateway.client.finished_waits(begin_ms + 41.0 + MAX_WAIT_MS) == [("token", None)]
 
 
-def test_units_short_are_told_once() -> None:
-    made, begin = Gate(), SPAN[0] + 1000.0
-    assert made.ask(begin, begin + 200.0) > 5
-    reserved = made.floor.take(begin + 300.0, 1, 0.5)
+def test_a_shortfall_is_reported_once() -> None:
+    gateway, begin_ms = ReservationGateway(), SPAN[0] + 1000.0
+    assert gateway.count_reserved(begin_ms, begin_ms + 200.0) > 5
+    reserved = gateway.client.take(begin_ms + 300.0, 1, 0.5)
     assert reserved is not None
-    made.floor.failed(begin + 300.0, reserved, "load")
-    told = [
-        one
-        for at in range(400)
-        for one in made.turn(begin + 300.0 + 10.0 * at)
-        if isinstance(one, ReportShortfall)
+    gateway.client.failed(begin_ms + 300.0, reserved, "load")
+    reports = [
+        command
+        for index in range(400)
+        for command in gateway.exchange(begin_ms + 300.0 + 10.0 * index)
+        if isinstance(command, ReportShortfall)
     ]
-    assert [(one.cause, one.units) for one in told] == [("load", 0.5)]
+    assert [(command.cause, command.units) for command in reports] == [("load", 0.5)]
 
 
-# What stands in the code
-# -----------------------------------------------------------------------------------------------
+# Faults found in the code
+# ----------------------------------------------------------------------------------------------------------
 
 
-def test_a_customer_of_any_length_ends_no_members_part() -> None:
-    """Encoded within `Node.handle`, it ends this member's whole share in the fleet."""
-    given = {
+def test_a_customer_number_of_any_size_does_not_stop_a_member() -> None:
+    """A failure to encode the command within `ClusterNode.handle` would stop the whole member."""
+    call = {
         "do": "propose",
         "id": "1",
         "contract": "c",
         "terms": {**TERMS, "customers": [1 << 64], "windows": [{"from_ms": 1, "to_ms": 2}]},
     }
-    read = parse_call(json.dumps(given).encode())
-    assert isinstance(read, InvalidCall) or (isinstance(read, Command) and encode_command(0.0, read))
+    parsed = parse_call(json.dumps(call).encode())
+    assert isinstance(parsed, InvalidCall) or (isinstance(parsed, Command) and encode_command(0.0, parsed))
 
 
-def test_a_window_that_recurs_without_end_is_a_bad_call() -> None:
+def test_a_window_that_recurs_without_end_is_rejected() -> None:
     window = {"from_ms": 0, "to_ms": 1e-300, "every_ms": 1e-300, "until_ms": 1e10}
-    given = {"do": "propose", "id": "1", "contract": "c", "terms": {**TERMS, "windows": [window]}}
-    assert isinstance(parse_call(msgspec.json.encode(given)), InvalidCall)
+    call = {"do": "propose", "id": "1", "contract": "c", "terms": {**TERMS, "windows": [window]}}
+    assert isinstance(parse_call(msgspec.json.encode(call)), InvalidCall)
 
 
-def test_a_call_that_is_told_as_refused_is_not_taken_later() -> None:
-    """Answers come late, so the call is made again behind 500 ms; meanwhile there is room."""
+def test_a_call_that_was_rejected_is_not_applied_later() -> None:
+    """Late answers cause a second attempt after 500 ms; by then the capacity suffices."""
     world = FleetWorld(Plan(1, 3))
     for name in world.machines:
         world.start(name)
     world.calendar.run(4000.0)
     leader = next(
-        one for one in world.machines.values() if one.node is not None and one.node.replicas[FLEET].leading
-    )
-    asker = next(one for one in world.machines.values() if one is not leader)
-    begin = leader.clock.wall(leader.clock.now(world.calendar.now)) + 60_000.0
-    terms = msgspec.convert({**TERMS, "windows": [Window(begin, begin + 1000.0)]}, ContractTerms)
-    got: list[Any] = []
-    world.network.delays[leader.name, asker.name] = 700.0
-    world.call(asker.name, ProposeContract(id="1", contract="c", terms=terms), got.append)
+        machine
+        for machine in world.machines.values()
+        if machine.node is not None and machine.node.replicas[FLEET].leading
+    )
+    other = next(machine for machine in world.machines.values() if machine is not leader)
+    begin_ms = leader.clock.wall(leader.clock.now(world.calendar.now)) + 60_000.0
+    terms = msgspec.convert({**TERMS, "windows": [Window(begin_ms, begin_ms + 1000.0)]}, ContractTerms)
+    results: list[Any] = []
+    world.network.delays[leader.name, other.name] = 700.0
+    world.call(other.name, ProposeContract(id="1", contract="c", terms=terms), results.append)
     world.calendar.run(world.calendar.now + 200.0)
     world.call(
         leader.name,
@@ -1777,15 +1903,17 @@
     )
     world.calendar.run(world.calendar.now + 3000.0)
     assert leader.node is not None
-    taken = "c" in leader.node.state_machines[FLEET].parts["contracts"].contracts
-    refused = isinstance(got[0], ApplyResult) and isinstance(got[0].error, InsufficientCapacity)
-    assert not (taken and refused), f"{got[0]}, and the contract is held"
+    applied = "c" in leader.node.state_machines[FLEET].parts["contracts"].contracts
+    rejected = isinstance(results[0], ApplyResult) and isinstance(results[0].error, InsufficientCapacity)
+    assert not (applied and rejected), f"{results[0]}, and the contract is held"
 
 
-def wide_promise(number: int, id_: str = "") -> key_value.PutValue:
+def wide_put(number: int, command_id: str = "") -> key_value.PutValue:
     wide = "\U0001f600"
     return key_value.PutValue(
-        id=id_ or f"{number:0128}", name=wide * 120 + f"{number:08}", value=wide * key_value.MAX_VALUE_LENGTH
+        id=command_id or f"{number:0128}",
+        name=wide * 120 + f"{number:08}",
+        value=wide * key_value.MAX_VALUE_LENGTH,
     )
 
 
@@ -1795,166 +1923,185 @@
         tenant="t",
         recorded_by="a/00000000",
         lines=tuple(
-            unreported_usage.UsageLine("\U0001f600" * 60 + f"{at:04}", 1.5, 60_000.0)
-            for at in range(unreported_usage.MAX_LINES)
+            unreported_usage.UsageLine("\U0001f600" * 60 + f"{index:04}", 1.5, 60_000.0)
+            for index in range(unreported_usage.MAX_LINES)
         ),
     )
 
 
-def narrow_batch(number: int) -> unreported_usage.RecordUsage:
+def ascii_batch(number: int) -> unreported_usage.RecordUsage:
     return unreported_usage.RecordUsage(
         id=f"{number:0128}",
         tenant="t",
         recorded_by="a/00000000",
         lines=tuple(
-            unreported_usage.UsageLine(f"{at:064}", 1.5, 60_000.0) for at in range(unreported_usage.MAX_LINES)
+            unreported_usage.UsageLine(f"{index:064}", 1.5, 60_000.0)
+            for index in range(unreported_usage.MAX_LINES)
         ),
     )
 
 
 def test_a_group_at_all_its_bounds_fits_into_a_snapshot() -> None:
-    """Really filled: names, batches, and answers, each of which is a long value that was there before.  As
-    many ids as are kept, of the longest names, come on top; an eighth is left for what hashing gives
-    beside these."""
-    made, index, refused = state(), 0, 0
-    for make, most in ((wide_batch, 1024), (wide_promise, 8192)):
-        for number in range(most + 1):
+    """Fills the limits on names, batches and remembered answers, each answer being a long previous value.  The longest
+    ids of all remembered answers are added to the size; an eighth is reserved for what the group's hash range may
+    hold besides."""
+    machine, index, rejected = state_machine(), 0, 0
+    for make_command, max_count in ((wide_batch, 1024), (wide_put, 8192)):
+        for number in range(max_count + 1):
             index += 1
-            got = made.apply(0.0, index, encode_command(0.0, make(number)))
-            if refused := refused + isinstance(got.error, Overloaded):
+            result = machine.apply(0.0, index, encode_command(0.0, make_command(number)))
+            if rejected := rejected + isinstance(result.error, Overloaded):
                 break
-        assert refused
+        assert rejected
     for number in range(2200):
         index += 1
         assert (
-            made.apply(0.0, index, encode_command(0.0, wide_promise(number % 100, f"again{number}"))).error
+            machine.apply(0.0, index, encode_command(0.0, wide_put(number % 100, f"again{number}"))).error
             is None
         )
-    assert len(made.dump()) + remembered_answers.MAX_REMEMBERED_IDS * 4 * 128 < MAX_SNAPSHOT_BYTES * 7 / 8
+    assert len(machine.dump()) + remembered_answers.MAX_REMEMBERED_IDS * 4 * 128 < MAX_SNAPSHOT_BYTES * 7 / 8
 
 
 def test_remembered_answers_are_bounded_in_bytes_and_all_replicas_forget_the_same(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A snapshot taken of it, and one of a build that had no such bound, come to the same as the whole
-    log."""
-    made, taken, older, later = state(), state(), state(), state()
+    """A replica restored from a snapshot, also from one of a build without the bound, ends in the same state as one
+    that applied the whole log."""
+    machine, restored, unbounded, restored_unbounded = (
+        state_machine(),
+        state_machine(),
+        state_machine(),
+        state_machine(),
+    )
 
-    def call(number: int) -> bytes:
+    def encoded_call(number: int) -> bytes:
         return encode_command(
             0.0, key_value.PutValue(id=f"p{number}", name="n", value="v" * (300 + 97 * number % 400))
         )
 
     for number in range(40):
         if number == 20:
-            taken.restore(0.0, made.dump())
-            later.restore(0.0, older.dump())
-            assert later.dump() == made.dump()  # before the next call as well: it could be a repeat
-        for one, most in (
-            (made, 4096),
-            *(((older, 1 << 30),) if number < 20 else ((taken, 4096), (later, 4096))),
+            restored.restore(0.0, machine.dump())
+            restored_unbounded.restore(0.0, unbounded.dump())
+            # Already before the next call, which could be a repeat.
+            assert restored_unbounded.dump() == machine.dump()
+        for replica, max_bytes in (
+            (machine, 4096),
+            *(((unbounded, 1 << 30),) if number < 20 else ((restored, 4096), (restored_unbounded, 4096))),
         ):
-            monkeypatch.setattr(remembered_answers, "MAX_REMEMBERED_ANSWER_BYTES", most)
-            one.apply(0.0, number + 1, call(number))
+            monkeypatch.setattr(remembered_answers, "MAX_REMEMBERED_ANSWER_BYTES", max_bytes)
+            replica.apply(0.0, number + 1, encoded_call(number))
         monkeypatch.setattr(remembered_answers, "MAX_REMEMBERED_ANSWER_BYTES", 4096)
-    remembered: list[Any] = made.answers.dump()
+    remembered: list[Any] = machine.answers.dump()
     assert sum(len(answer) for _, _, answer in remembered) <= 4096
-    assert 4 < len(remembered) < 14 and "p39" in made.answers and taken.dump() == later.dump() == made.dump()
+    assert (
+        4 < len(remembered) < 14
+        and "p39" in machine.answers
+        and restored.dump() == restored_unbounded.dump() == machine.dump()
+    )
 
 
-def test_a_batch_that_comes_again_when_its_answer_is_forgotten_keeps_its_claim(
+def test_a_batch_recorded_again_after_its_answer_was_dropped_keeps_its_claim(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Else it could be claimed, and told to the counter, twice."""
+    """Otherwise it could be claimed and reported to the counter twice."""
     monkeypatch.setattr(remembered_answers, "MAX_REMEMBERED_IDS", 1)
-    made = state()
-    made.apply(0.0, 1, encode_command(0.0, narrow_batch(1)))
-    claim = unreported_usage.ClaimUsage(id="c", tenant="t", batch=narrow_batch(1).id, reporter="b/1")
-    made.apply(0.0, 2, encode_command(0.0, claim))
-    assert made.apply(0.0, 3, encode_command(0.0, narrow_batch(1))).value is True
-    other = unreported_usage.ClaimUsage(id="d", tenant="t", batch=claim.batch, reporter="c/1")
-    assert isinstance(made.apply(0.0, 4, encode_command(0.0, other)).error, WrongState)
-
-
-def beats(replica: RaftNode, other: RaftNode, first: float, count: int) -> tuple[list[Effect], int]:
-    """So many beats of a leader to c/1, and all that the two say to each other at once, while b/1 is
-    heard; gives what the leader wants done, and how many appends that came to."""
-    out, appends = list[Effect](), 0
-    for beat in range(count):
-        now = first + 100.0 * beat
+    machine = state_machine()
+    machine.apply(0.0, 1, encode_command(0.0, ascii_batch(1)))
+    claim = unreported_usage.ClaimUsage(id="c", tenant="t", batch=ascii_batch(1).id, reporter="b/1")
+    machine.apply(0.0, 2, encode_command(0.0, claim))
+    assert machine.apply(0.0, 3, encode_command(0.0, ascii_batch(1))).value is True
+    second_claim = unreported_usage.ClaimUsage(id="d", tenant="t", batch=claim.batch, reporter="c/1")
+    assert isinstance(machine.apply(0.0, 4, encode_command(0.0, second_claim)).error, WrongState)
+
+
+def exchange_heartbeats(
+    replica: RaftNode, follower: RaftNode, begin_ms: float, count: int
+) -> tuple[list[Effect], int]:
+    """Run `count` heartbeats of the leader and deliver its messages to and from c/1, while b/1 replies as well; returns
+    the leader's effects and the number of messages to c/1."""
+    effects, appends = list[Effect](), 0
+    for heartbeat in range(count):
+        now = begin_ms + 100.0 * heartbeat
         replica.handle(now, MessageReceived("b/1", AppendEntriesReply("g", 5, True, 3, 1)))
-        made = replica.handle(now, Tick())
-        while made:
-            out += made
-            to_c = [one.message for one in made if isinstance(one, SendMessage) and one.to == "c/1"]
-            appends, made = appends + len(to_c), []
-            for message in to_c:
-                told = other.handle(now, MessageReceived("a/1", message))
-                for one in told + persist_writes(other, now, told):
-                    if isinstance(one, SendMessage) and one.to == "a/1":
-                        made += replica.handle(now, MessageReceived("c/1", one.message))
-    return out, appends
-
-
-def follower(*terms: int) -> RaftNode:
+        pending = replica.handle(now, Tick())
+        while pending:
+            effects += pending
+            messages = [
+                effect.message for effect in pending if isinstance(effect, SendMessage) and effect.to == "c/1"
+            ]
+            appends, pending = appends + len(messages), []
+            for message in messages:
+                follower_effects = follower.handle(now, MessageReceived("a/1", message))
+                for effect in follower_effects + persist_writes(follower, now, follower_effects):
+                    if isinstance(effect, SendMessage) and effect.to == "a/1":
+                        pending += replica.handle(now, MessageReceived("c/1", effect.message))
+    return effects, appends
+
+
+def follower_with_entries(*terms: int) -> RaftNode:
     saved = PersistedGroup(
-        5, "", Snapshot(0, 0, THREE_VOTERS, EMPTY), tuple(entry(at, one) for at, one in enumerate(terms, 1))
+        5,
+        "",
+        Snapshot(0, 0, THREE_VOTERS, EMPTY_SNAPSHOT_BODY),
+        tuple(entry(index, entry_term) for index, entry_term in enumerate(terms, 1)),
     )
     return RaftNode(
         "g", "c/1", saved, RecordingStateMachine(SimulatedGroup(0, 0)), TIMINGS, Random(1), Invariants(), 0.0
     )
 
 
-def errors(effects: list[Effect]) -> list[str]:
-    return [one.event for one in effects if isinstance(one, LogEvent) and one.level == "error"]
+def error_events(effects: list[Effect]) -> list[str]:
+    return [effect.event for effect in effects if isinstance(effect, LogEvent) and effect.level == "error"]
 
 
-def test_a_member_that_lost_what_it_acknowledged_is_told_of_once() -> None:
-    """A folder put back from a copy: no promise holds for that, but nobody else could say so.  It is asked
-    once a beat, and its refusals do not make appends of their own."""
-    replica, _ = leading(5, 1, 1, 1)
+def test_a_member_that_lost_acknowledged_entries_is_reported_once() -> None:
+    """Restoring a member's folder from a backup loses acknowledged entries, which only the leader can detect and log.
+    It sends one append per heartbeat, and rejections do not cause further ones."""
+    replica, _ = leader_with_entries(5, 1, 1, 1)
     replica.handle(2001.0, MessageReceived("c/1", AppendEntriesReply("g", 5, True, 4, 1)))
-    out, appends = beats(replica, follower(1, 1), 2100.0, 9)
-    assert errors(out) == ["copy-went-back"] and appends <= 9 + 1
-    out, _ = beats(replica, follower(1, 1, 1, 5), 3000.0, 2)  # it has all again, and loses it again
-    assert not errors(out) and match(replica, "c/1") == 4
-    assert errors(beats(replica, follower(1, 1), 3200.0, 9)[0]) == ["copy-went-back"]
-
-
-def test_who_refuses_below_what_it_acknowledged_for_a_lost_batch_is_brought_up_to_date() -> None:
-    """It has a tail of the same old term, of another leader: what it refuses points before what matches.
-    No answer that comes late is told as lost either."""
-    replica, _ = leading(5, 1, 1, 1)
-    other = follower(1, 1, 1, 1, 1)
-    replica.handle(
-        2001.0, MessageReceived("c/1", AppendEntriesReply("g", 5, True, 3, 1))
-    )  # entry 4 goes out behind it, and is lost
-    late = [
-        one
-        for one in other.handle(2002.0, MessageReceived("a/1", AppendEntries("g", 5, 4, 5, (), 0, 1)))
-        if isinstance(one, SendMessage)
+    effects, appends = exchange_heartbeats(replica, follower_with_entries(1, 1), 2100.0, 9)
+    assert error_events(effects) == ["copy-went-back"] and appends <= 9 + 1
+    # It has caught up, and then loses entries again.
+    effects, _ = exchange_heartbeats(replica, follower_with_entries(1, 1, 1, 5), 3000.0, 2)
+    assert not error_events(effects) and match_index(replica, "c/1") == 4
+    assert error_events(exchange_heartbeats(replica, follower_with_entries(1, 1), 3200.0, 9)[0]) == [
+        "copy-went-back"
     ]
-    assert [one.message for one in late] == [AppendEntriesReply("g", 5, False, 1, 1)]
-    out, _ = beats(replica, other, 2100.0, 3)
-    assert match(replica, "c/1") == 4 and other.last_log_index == 4
+
+
+def test_a_follower_that_rejects_below_its_acknowledged_index_after_a_lost_batch_catches_up() -> None:
+    """The follower has a log tail of the same old term from another leader, so its rejection names an index below the
+    matching one.  Late replies are not reported as lost entries either."""
+    replica, _ = leader_with_entries(5, 1, 1, 1)
+    follower = follower_with_entries(1, 1, 1, 1, 1)
+    # Entry 4 is sent next, and lost.
+    replica.handle(2001.0, MessageReceived("c/1", AppendEntriesReply("g", 5, True, 3, 1)))
+    late_replies = [
+        effect
+        for effect in follower.handle(2002.0, MessageReceived("a/1", AppendEntries("g", 5, 4, 5, (), 0, 1)))
+        if isinstance(effect, SendMessage)
+    ]
+    assert [effect.message for effect in late_replies] == [AppendEntriesReply("g", 5, False, 1, 1)]
+    effects, _ = exchange_heartbeats(replica, follower, 2100.0, 3)
+    assert match_index(replica, "c/1") == 4 and follower.last_log_index == 4
     for now in (2500.0, 2501.0, 2502.0):
-        out += replica.handle(now, MessageReceived("c/1", late[0].message))
-    out += beats(replica, other, 2600.0, 3)[0]
-    assert match(replica, "c/1") == 4 and not errors(out)
+        effects += replica.handle(now, MessageReceived("c/1", late_replies[0].message))
+    effects += exchange_heartbeats(replica, follower, 2600.0, 3)[0]
+    assert match_index(replica, "c/1") == 4 and not error_events(effects)
 
 
-def test_a_broken_rule_is_told_as_one() -> None:
-    """Else an operator is told to see to a disk that has nothing."""
-    replica, _ = copy(4, 1)
+def test_a_broken_invariant_is_reported_as_one() -> None:
+    """Otherwise the operator would be advised to check a healthy disk."""
+    replica, _ = replica_with_entries(4, 1)
     replica.handle(1.0, StorageFailure(InvariantBroken("g", "ID_ONCE: planted")))
     assert isinstance(replica.stop_reason, InvariantBroken)
 
 
-def test_a_lease_ask_that_comes_again_late_takes_no_part() -> None:
-    """The holder has given its part back since: nobody uses what it is granted now, and others get nothing
-    for 2 s."""
-    floors = GuaranteedRates(Timings(), Invariants())
-    floors.apply(
+def test_a_late_duplicate_of_a_lease_request_takes_no_share() -> None:
+    """The holder has returned its share since: a grant to it now would be unused, and block others for 2 s."""
+    rates = GuaranteedRates(Timings(), Invariants())
+    rates.apply(
         1000.0,
         OpenContract(
             id="o",
@@ -1968,77 +2115,81 @@
         ),
     )
 
-    def ask(id_: str, holder: str, number: int, wish: float) -> RequestLease:
+    def lease_request(request_id: str, holder: str, lease_number: int, wanted_rate: float) -> RequestLease:
         return RequestLease(
-            id=id_,
+            id=request_id,
             tenant="t",
             contract="c",
             holder=holder,
-            lease_number=number,
+            lease_number=lease_number,
             kept_rate=0.0,
-            wanted_rate=wish,
+            wanted_rate=wanted_rate,
             returned_units=0.0,
             process="p",
-            sequence=int(id_),
+            sequence=int(request_id),
         )
 
-    first = ask("1", "a/1", 0, 100.0)
-    assert floors.apply(1000.0, first).value["part"] == 100.0
-    assert floors.apply(1300.0, ask("2", "a/1", 1, 0.0)).value["number"] == 0
-    floors.apply(1600.0, first)
-    assert floors.apply(1700.0, ask("3", "b/1", 0, 100.0)).value["part"] == 100.0
+    first = lease_request("1", "a/1", 0, 100.0)
+    assert rates.apply(1000.0, first).value["part"] == 100.0
+    assert rates.apply(1300.0, lease_request("2", "a/1", 1, 0.0)).value["number"] == 0
+    rates.apply(1600.0, first)
+    assert rates.apply(1700.0, lease_request("3", "b/1", 0, 100.0)).value["part"] == 100.0
 
 
 @pytest.mark.parametrize(
-    ("part", "make", "most"),
+    ("part_type", "make_command", "max_bytes"),
     [
-        (key_value.KeyValueStore, wide_promise, key_value.MAX_BYTES),
+        (key_value.KeyValueStore, wide_put, key_value.MAX_BYTES),
         (unreported_usage.UnreportedUsage, wide_batch, unreported_usage.MAX_UNREPORTED_BYTES),
-        (unreported_usage.UnreportedUsage, narrow_batch, unreported_usage.MAX_UNREPORTED_BYTES),
+        (unreported_usage.UnreportedUsage, ascii_batch, unreported_usage.MAX_UNREPORTED_BYTES),
     ],
 )
 def test_a_full_part_holds_no_more_bytes_than_its_bound(
-    part: Any, make: Callable[[int], Any], most: int
+    part_type: Any, make_command: Callable[[int], Any], max_bytes: int
 ) -> None:
-    """Otherwise no newcomer can ever take it in, and a lost copy stays lost.  Put back from a snapshot it
-    is as full; what is there may become shorter."""
-    made, number = part(), 0
-    assert make(0).validate() == ""
-    while made.apply(0.0, make(number)).error is None:
+    """Otherwise no new replica could ever install the snapshot, and a lost copy could not be replaced.  After a restore
+    the part is as full as before; existing values may be replaced by shorter ones."""
+    state_part, number = part_type(), 0
+    assert make_command(0).validate() == ""
+    while state_part.apply(0.0, make_command(number)).error is None:
         number += 1
-    other = part()
-    other.load(msgspec.msgpack.decode(msgspec.msgpack.encode(made.dump())))
-    assert isinstance(other.apply(0.0, make(number)).error, Overloaded)
-    size = len(msgspec.msgpack.encode(made.dump()))
-    assert 0.8 * most < size <= most
-    if part is key_value.KeyValueStore:
-        for one in (made, other):
-            assert one.apply(0.0, key_value.PutValue(id="s", name=make(0).name, value="")).error is None
-            assert one.apply(0.0, make(number)).error is None
+    restored = part_type()
+    restored.load(msgspec.msgpack.decode(msgspec.msgpack.encode(state_part.dump())))
+    assert isinstance(restored.apply(0.0, make_command(number)).error, Overloaded)
+    size = len(msgspec.msgpack.encode(state_part.dump()))
+    assert 0.8 * max_bytes < size <= max_bytes
+    if part_type is key_value.KeyValueStore:
+        for either in (state_part, restored):
+            assert (
+                either.apply(0.0, key_value.PutValue(id="s", name=make_command(0).name, value="")).error
+                is None
+            )
+            assert either.apply(0.0, make_command(number)).error is None
 
 
 @pytest.mark.parametrize(
-    ("part", "make", "most"),
+    ("part_type", "make_command", "max_count"),
     [
         (
             key_value.KeyValueStore,
             lambda number: key_value.PutValue(id="1", name=f"{number:0128}", value="v" * 1024),
             8192,
         ),
-        (unreported_usage.UnreportedUsage, narrow_batch, 1024),
+        (unreported_usage.UnreportedUsage, ascii_batch, 1024),
     ],
 )
-def test_what_is_one_byte_a_character_fills_a_part_to_its_number(
-    part: Any, make: Callable[[int], Any], most: int
+def test_ascii_entries_fill_a_part_up_to_its_maximum_count(
+    part_type: Any, make_command: Callable[[int], Any], max_count: int
 ) -> None:
-    made = part()
-    assert [made.apply(0.0, make(number)).error is None for number in range(most + 1)] == [True] * most + [
-        False
-    ]
+    state_part = part_type()
+    assert [state_part.apply(0.0, make_command(number)).error is None for number in range(max_count + 1)] == [
+        True
+    ] * max_count + [False]
 
 
-def test_one_wrong_clock_of_three_does_not_carry_the_time_ahead_while_one_is_lost() -> None:
-    """Half an hour ahead for good, as a group's time never goes back: windows end before they begin."""
+def test_one_wrong_clock_of_three_does_not_advance_the_clusters_time_while_one_is_lost() -> None:
+    """The time would stay half an hour ahead, since a group's time never goes back, and windows would end before they
+    begin."""
     names = ("a", "b", "c")
     node = ClusterNode(
         NodeSetup("f", "a", "1", tuple(Member(name, "h") for name in names)),
