--- a/badgeryoke/cluster/connection_limits/lease_holder.py
+++ b/badgeryoke/cluster/connection_limits/lease_holder.py
@@ -234,7 +234,7 @@
         error = result if isinstance(result, ClusterError) else result.error
         if error is not None and not isinstance(error, InvalidCall | DuplicateId | WrongState):
             # Its outcome is unknown: it is retried with the same id until it is known.
-            pending.outcome_unknown(now, self.timings.lease_ms)
+            pending.schedule_retry(now, self.timings.lease_ms)
             return
         del self._pending[bucket]
         match command:
@@ -242,7 +242,7 @@
                 self._stale_released(command)
             case RequestConnectionLeases() if error is None and isinstance(result, ApplyResult):
                 answer = msgspec.convert(result.value, ConnectionLeases)
-                self._take_answer(command, answer, pending.first_sent_ms)
+                self._apply_answer(command, answer, pending.first_sent_ms)
 
     def _stale_released(self, command: ReleaseConnectionLeases) -> None:
         """Delete the stale leases whatever the outcome: after an error they are no longer in force either."""
@@ -250,7 +250,7 @@
         if remaining:
             self._stale[command.bucket] = remaining
 
-    def _take_answer(
+    def _apply_answer(
         self, command: RequestConnectionLeases, answer: ConnectionLeases, sent_ms: float
     ) -> None:
         self._requested_buckets.add(command.bucket)
@@ -258,12 +258,12 @@
             self._stale[command.bucket] = answer.stale
         wanted = {request.server: request.wanted for request in command.requests}
         for lease in answer.leases:
-            self._take_lease(lease, wanted[lease.server], sent_ms)
+            self._apply_lease(lease, wanted[lease.server], sent_ms)
         # Servers are added and removed over time, so entries of unused ones are deleted.
         for server in [server for server, connections in self.servers.items() if connections.unused]:
             del self.servers[server]
 
-    def _take_lease(self, lease: ConnectionLease, wanted: int, sent_ms: float) -> None:
+    def _apply_lease(self, lease: ConnectionLease, wanted: int, sent_ms: float) -> None:
         connections = self.servers.setdefault(lease.server, ServerConnections())
         max_backoff_ms = renewal_interval_ms(self.timings)
         connections.back_off(lease.granted < wanted, max_backoff_ms)
--- a/badgeryoke/cluster/connection_limits/server_connections.py
+++ b/badgeryoke/cluster/connection_limits/server_connections.py
@@ -55,7 +55,7 @@
     in_flight: bool = True
     retries: int = 0
 
-    def outcome_unknown(self, now: float, max_backoff_ms: float) -> None:
+    def schedule_retry(self, now: float, max_backoff_ms: float) -> None:
         """Schedule a retry with exponential backoff."""
         self.in_flight = False
         self.retry_at_ms = now + min(MIN_REQUEST_INTERVAL_MS * 2**self.retries, max_backoff_ms)
--- a/badgeryoke/cluster/unreported_usage.py
+++ b/badgeryoke/cluster/unreported_usage.py
@@ -114,7 +114,7 @@
 class UsageBatch:
     """One unreported batch; `reporter` is empty until it is claimed."""
 
-    since_ms: float  # group's time, Unix ms
+    recorded_at_ms: float  # group's time, Unix ms
     tenant: str
     recorded_by: MemberId
     lines: tuple[UsageLine, ...]
@@ -156,7 +156,7 @@
 
     def _drop_expired(self, at_ms: float) -> None:
         for name, batch in list(self._batches.items()):
-            if at_ms - batch.since_ms <= MAX_BATCH_AGE_MS:
+            if at_ms - batch.recorded_at_ms <= MAX_BATCH_AGE_MS:
                 break  # the following batches are newer
             self._close(name, outcome_known=False)
 
@@ -228,7 +228,14 @@
         return [
             self.unknown_units,
             [
-                [name, batch.since_ms, batch.tenant, batch.recorded_by, batch.dump_lines(), batch.reporter]
+                [
+                    name,
+                    batch.recorded_at_ms,
+                    batch.tenant,
+                    batch.recorded_by,
+                    batch.dump_lines(),
+                    batch.reporter,
+                ]
                 for name, batch in self._batches.items()
             ],
         ]
@@ -238,8 +245,8 @@
         self.unknown_units, batches = raw
         self._batches = {
             name: UsageBatch(
-                since_ms, tenant, recorded_by, tuple(UsageLine(*line) for line in lines), reporter
+                recorded_at_ms, tenant, recorded_by, tuple(UsageLine(*line) for line in lines), reporter
             )
-            for name, since_ms, tenant, recorded_by, lines, reporter in batches
+            for name, recorded_at_ms, tenant, recorded_by, lines, reporter in batches
         }
         self._total_bytes = sum(batch.size_bytes() for batch in self._batches.values())
