--- a/badgeryoke/cluster/connection_limits/__init__.py
+++ b/badgeryoke/cluster/connection_limits/__init__.py
@@ -9,8 +9,8 @@
 - when its holder has returned it;
 - when the lease has expired by the leader's clock and then the server's idle timeout has elapsed
   (`ReleaseProof.IDLE`): a live holder closes its connections before the expiry, and a dead or frozen one does not
-  use them after it, so that the server closes them.  The expiry alone is not enough: the connections of a lost
-  machine stay open at the server;
+  use them after it, so that the server closes them.  Neither alone is enough: the connections of a lost machine
+  stay open at the server after the expiry;
 - when a later process on the same running machine states that the earlier one is dead (`ReleaseProof.RESET`): the
   kernel has closed its sockets.  A rebooted machine cannot state this, since its new kernel does not know the old
   sockets.
