--- a/badgeryoke/cluster/rolling_restart/waves.py
+++ b/badgeryoke/cluster/rolling_restart/waves.py
@@ -1,13 +1,13 @@
 """Rolling restarts as replicated state: how each command changes it.
 
-Gateways are drained and restarted, or held, in waves.  A wave begins only where the remaining gateways carry
-the present traffic and contracts, each zone stays served, each group keeps its majority, and all copies have
-caught up; no gateway is taken into the next wave before those of the last one serve again and are warm.
-
-Each change is compare-and-set: a gateway's event and report on the gateway's version, a wave and an event of
-the whole restart on the restart's version.  So any leader goes on where another stopped, and a command that
-was proposed twice takes effect once.  The leader decides only where conditions must hold (`scheduler`); the
-other events are reports of the gateways themselves (`gateway_agent`).
+Gateways are drained and restarted, or held, in waves.  A wave begins only if the remaining gateways can carry the
+present traffic and contracts, each zone stays served, each group keeps its majority, and all copies have caught up.
+The next wave begins when all gateways of the last one serve again and are warm.
+
+Each change is compare-and-set: a gateway's event or report on the gateway's version, a wave or an event of the whole
+restart on the restart's version.  So any leader can continue the work of another, and a command that was proposed
+twice takes effect once.  The leader decides only where conditions must hold (`scheduler`); the other events are
+reports of the gateways (`gateway_agent`).
 """
 
 from __future__ import annotations
@@ -46,19 +46,19 @@
 )
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 
-MAX_RESTARTS = 16  # kept, with those that have ended; the one that ended first is dropped first
+MAX_RESTARTS = 16  # stored, including ended ones; the oldest ended one is removed first
 
 RestartCommand = (
     CancelRollingRestart | ResumeGateway | RecordRestartEvent | StartWave | RecordGatewayEvent | ReportGateway
 )
 
 
-def _refused(error: AnyError) -> ApplyResult:
+def _rejected(error: AnyError) -> ApplyResult:
     return ApplyResult(error=error)
 
 
 class RollingRestarts:
-    """The rolling restarts of a cluster; one at a time is active.  A `StateMachinePart`."""
+    """The rolling restarts of a cluster, at most one of them active.  A `StateMachinePart`."""
 
     def __init__(self, invariants: Invariants) -> None:
         self._invariants = invariants
@@ -67,7 +67,7 @@
 
     @property
     def active(self) -> RollingRestart | None:
-        """The restart that has not ended."""
+        """The restart that has not ended, if there is one."""
         return next(
             (restart for restart in self.restarts.values() if restart.state not in ENDED_STATES), None
         )
@@ -75,7 +75,7 @@
     def apply(self, at_ms: float, command: Command) -> ApplyResult:
         """See `StateMachinePart.apply`."""
         if problem := command.validate():
-            return _refused(InvalidCall("roll", problem))
+            return _rejected(InvalidCall("roll", problem))
         match command:
             case ReadDesiredState():
                 return self._assignment(command.gateway)
@@ -91,9 +91,9 @@
             ):
                 restart = self.restarts.get(command.restart)
                 if restart is None:
-                    return _refused(NotFound(command.restart, "no roll of that name is known"))
+                    return _rejected(NotFound(command.restart, "no roll of that name is known"))
                 return self._apply_to(at_ms, restart, command)
-        return _refused(NotFound("roll", "no roll of that name is known"))
+        return _rejected(NotFound("roll", "no roll of that name is known"))
 
     def _apply_to(self, at_ms: float, restart: RollingRestart, command: RestartCommand) -> ApplyResult:
         match command:
@@ -128,24 +128,26 @@
     def _start(self, at_ms: float, command: StartRollingRestart) -> ApplyResult:
         name = command.restart
         if name in self.restarts:
-            return _refused(WrongState(name, "a roll of that name is known already"))
-        if (other := self.active) is not None:
-            return _refused(WrongState(name, f"{other.name} is {other.state.value}: one roll at a time"))
+            return _rejected(WrongState(name, "a roll of that name is known already"))
+        if (active_restart := self.active) is not None:
+            return _rejected(
+                WrongState(name, f"{active_restart.name} is {active_restart.state.value}: one roll at a time")
+            )
         while len(self.restarts) >= MAX_RESTARTS:
-            del self.restarts[next(iter(self.restarts))]  # all have ended, the first longest ago
+            del self.restarts[next(iter(self.restarts))]  # all have ended; the first is the oldest
         self.restarts[name] = RollingRestart(name, command, since_ms=at_ms)
         return ApplyResult({"roll": name, "state": RestartState.ASKED.value})
 
     def _cancel(self, at_ms: float, restart: RollingRestart) -> ApplyResult:
         if not restart.transition(at_ms, RestartEvent.CANCEL, "cancelled"):
-            return _refused(WrongState(restart.name, f"it is {restart.state.value}"))
+            return _rejected(WrongState(restart.name, f"it is {restart.state.value}"))
         for name in restart.gateways:
             restart.advance(at_ms, name, GatewayEvent.CANCEL, self._invariants)
         return ApplyResult(restart.summary())
 
     def _resume(self, at_ms: float, restart: RollingRestart, command: ResumeGateway) -> ApplyResult:
         if command.gateway and command.gateway not in restart.gateways:
-            return _refused(NotFound(command.gateway, f"not in {restart.name}"))
+            return _rejected(NotFound(command.gateway, f"not in {restart.name}"))
         resumed = 0
         for name in [command.gateway] if command.gateway else list(restart.gateways):
             gateway = restart.gateways[name]
@@ -160,8 +162,8 @@
                 restart.version += 1
                 resumed += 1
         if not resumed:
-            nobody = "nobody there is held, or, with force, waits to become empty"
-            return _refused(WrongState(restart.name, nobody))
+            problem = "nobody there is held, or, with force, waits to become empty"
+            return _rejected(WrongState(restart.name, problem))
         return ApplyResult(restart.summary())
 
     # Commands of the leader.
@@ -175,19 +177,19 @@
             or event is None
             or event in (RestartEvent.CANCEL, RestartEvent.FINISHED)
         ):
-            return _refused(WrongState(restart.name, "it has moved on"))
+            return _rejected(WrongState(restart.name, "it has moved on"))
         planned = event is RestartEvent.PLANNED
         if planned and (not command.order or len(set(command.order)) < len(command.order)):
-            return _refused(InvalidCall(restart.name, "order: expected gateways, each once"))
+            return _rejected(InvalidCall(restart.name, "order: expected gateways, each once"))
         if not restart.transition(at_ms, event, command.cause):
-            return _refused(WrongState(restart.name, f"it is {restart.state.value}"))
+            return _rejected(WrongState(restart.name, f"it is {restart.state.value}"))
         if planned:
             restart.gateways = {name: GatewayProgress(since_ms=at_ms) for name in command.order}
             restart.member_count = max(command.member_count, 1)
         return ApplyResult(restart.summary())
 
     def _check_conditions(self, restart: RollingRestart, conditions: ClusterConditions | None) -> str:
-        """Why gateways may not go, empty where they may; a leader that proposes it all the same has broken an
+        """Why gateways may not be drained, empty if they may; a leader that proposes it all the same has broken an
         invariant."""
         problem = conditions.validate() if conditions is not None else (Rule.WAVE_KEEPS_ROOM, "no facts")
         if problem is None:
@@ -198,7 +200,7 @@
 
     def _start_wave(self, at_ms: float, restart: RollingRestart, command: StartWave) -> ApplyResult:
         if problem := self._wave_problem(restart, command):
-            return _refused(WrongState(restart.name, problem))
+            return _rejected(WrongState(restart.name, problem))
         for name in command.gateways:
             restart.advance(at_ms, name, GatewayEvent.BEGIN, self._invariants)
         return ApplyResult(restart.summary())
@@ -206,8 +208,8 @@
     def _wave_problem(self, restart: RollingRestart, command: StartWave) -> str:
         if command.restart_version != restart.version or restart.state is not RestartState.RUNNING:
             return "it has moved on"
-        fits = 1 <= len(command.gateways) <= restart.request.at_once
-        if not fits or restart.gateways_in_progress():
+        valid_size = 1 <= len(command.gateways) <= restart.request.at_once
+        if not valid_size or restart.gateways_in_progress():
             return "the wave before is under way, or this one is too large"
         waiting = restart.gateways_in(GatewayPhase.WAITING)
         if not waiting.issuperset(command.gateways):
@@ -215,7 +217,7 @@
         return self._check_conditions(restart, command.conditions)
 
     def _is_current(self, gateway: GatewayProgress, version: int) -> bool:
-        """Whether an event or a report was meant for the phase in which the gateway is now."""
+        """Whether an event or a report refers to the present phase of the gateway."""
         return gateway.version == version
 
     def _record_gateway_event(
@@ -228,12 +230,12 @@
             or event not in LEADER_EVENTS
             or not self._is_current(gateway, command.gateway_version)
         ):
-            return _refused(WrongState(restart.name, f"{command.gateway} has moved on"))
+            return _rejected(WrongState(restart.name, f"{command.gateway} has moved on"))
         assert event is not None  # LEADER_EVENTS holds no None
         if problem := self._event_problem(restart, gateway, event, command):
-            return _refused(WrongState(restart.name, problem))
+            return _rejected(WrongState(restart.name, problem))
         if not restart.advance(at_ms, command.gateway, event, self._invariants):
-            return _refused(WrongState(restart.name, f"{command.gateway} is {gateway.phase.value}"))
+            return _rejected(WrongState(restart.name, f"{command.gateway} is {gateway.phase.value}"))
         return ApplyResult(restart.summary())
 
     def _event_problem(
@@ -248,9 +250,9 @@
         if event not in REQUIRED_REPORTS:
             return ""
         if command.restart_version != restart.version:
-            return "it has moved on"  # the process of another gateway may have ended since
-        holds = restart.request.after_drain == AfterDrain.HOLD
-        wrong_event = GatewayEvent.ACT if holds else GatewayEvent.HOLD
+            return "it has moved on"  # another gateway's process may have ended in the meantime
+        hold_after_drain = restart.request.after_drain == AfterDrain.HOLD
+        wrong_event = GatewayEvent.ACT if hold_after_drain else GatewayEvent.HOLD
         if (
             restart.state is not RestartState.RUNNING
             or gateway.report is not REQUIRED_REPORTS[event]
@@ -262,14 +264,14 @@
     # Reports of gateways.
 
     def _report(self, at_ms: float, restart: RollingRestart, command: ReportGateway) -> ApplyResult:
-        """Take a report in.  One that is out of date changes nothing, and its answer says what is so now."""
+        """Apply a report.  A stale report changes nothing; the answer is the present assignment either way."""
         gateway = restart.gateways.get(command.gateway)
         if gateway is None or not self._is_current(gateway, command.gateway_version):
             return self._assignment(command.gateway)
         report = GatewayReport(command.report)
         event = REPORTED_EVENTS[report]
         if event is not None:
-            # BACK counts from another process than the one whose wave began.
+            # BACK is valid only from another process than the one that ran when the wave began.
             if event is not GatewayEvent.BACK or gateway.process != command.process:
                 restart.advance(at_ms, command.gateway, event, self._invariants)
         elif report is AWAITED_REPORTS.get(gateway.phase):
@@ -286,12 +288,12 @@
         return ApplyResult(assignment_of(self.active, name).to_answer())
 
     def summaries(self) -> list[dict[str, Any]]:
-        """For operators: every restart that is kept."""
+        """All stored restarts, for operators."""
         return [restart.summary() for restart in self.restarts.values()]
 
     def planning_horizon_ms(self) -> float:
-        """How far ahead contracts count as load for the next wave: it may need its deadline twice, to drain
-        and to come back, and then warms up."""
+        """How far ahead contracts count as load for the next wave: it may take the deadline twice, to drain and to
+        return, and then warms up."""
         restart = self.active
         if restart is None:
             return 0.0
@@ -300,7 +302,7 @@
     # Snapshots.
 
     def record_applied(self, now: float) -> None:
-        """See `StateMachinePart.record_applied`; nothing here ends by the monotonic clock."""
+        """See `StateMachinePart.record_applied`; nothing here expires by the monotonic clock."""
 
     def dump(self) -> Any:
         """See `StateMachinePart.dump`."""
--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -901,7 +901,7 @@
                 UsageLine(f"n{number}", self.amount(9.0), 1000.0) for number in range(rng.randint(0, 3))
             )
             return RecordUsage(
-                id=batch, tenant=rng.choice(("ta", "tb")), debtor=rng.choice(MEMBER_IDS), lines=lines
+                id=batch, tenant=rng.choice(("ta", "tb")), recorded_by=rng.choice(MEMBER_IDS), lines=lines
             )
         if kind == 14:
             return ClaimUsage(id=self.next_id(), tenant="ta", batch=batch, reporter=rng.choice(MEMBER_IDS))
@@ -1316,14 +1316,14 @@
             open_counts[server] = open_counts.get(server, 0) + 1
         elif open_counts.get(server, 0) and rng.random() < 0.1:
             lease_holder.closing(server)
-            lease_holder.closed(server, begun=True)
+            lease_holder.closed(server, already_closing=True)
             open_counts[server] -= 1
     excess = lease_holder.excess(now_ms)
     digest.add(excess)
     for server, count in excess:
         for _ in range(count):
             lease_holder.closing(server)
-            lease_holder.closed(server, begun=True)
+            lease_holder.closed(server, already_closing=True)
             open_counts[server] -= 1
     digest.add(lease_holder.empty)
 
