--- a/badgeryoke/gateway/hot_restart/transfer.py
+++ b/badgeryoke/gateway/hot_restart/transfer.py
@@ -1,8 +1,8 @@
-"""Both ends of a hot restart's state transfer, over a Unix socket.  The old process listens; the new one asks for
-the state, restores it, and says that it serves.
+"""Both ends of a hot restart's state transfer, over a Unix socket.  The old process listens; the new one requests
+the state, restores it, and confirms that it serves.
 
-new: TAKE 1            old: STATE version checksum length, and the body; or ERR and why not
-new: SERVING           old: stops accepting; the connection stays until it ends
+new: TAKE version      old: STATE version checksum length, and the body; or ERR and the reason
+new: SERVING           old: stops accepting clients; the connection stays open until the old process ends
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 
 log = logging.getLogger(__name__)
 
-STEP_TIMEOUT_S = 1.5  # for each step of the other side; the new process has 6 s for all
-MAX_SOCKET_PATH_BYTES = 100  # less than what the system takes as a Unix socket's address
-MAX_SOCKET_NAME = 32  # characters of a gateway's name in its socket's path
+STEP_TIMEOUT_S = 1.5  # for each step of the peer; the new process has 6 s in total
+MAX_SOCKET_PATH_BYTES = 100  # below the system's limit for a Unix socket's address
+MAX_NAME_CHARACTERS = 32  # of a gateway's name, in its socket's path
 MAX_LINE_BYTES = 256
 TAKE_LINE = b"TAKE %d\n" % state_snapshot.VERSION
 SERVING_LINE = b"SERVING\n"
-# What ends a conversation: a timeout, a broken connection, or an answer that cannot be read.
+# The errors that end a transfer: a timeout, a lost connection, or a malformed answer.
 TRANSFER_ERRORS = (TimeoutError, OSError, ValueError, EOFError, asyncio.LimitOverrunError)
 
 
 class Predecessor(Protocol):
-    """What the listening side needs of its gateway."""
+    """The sender's interface to its gateway."""
 
     def take_snapshot(self) -> state_snapshot.StateSnapshot | str:
-        """The state, or why it is not given."""
+        """The state, or why there is none."""
 
     def successor_ready(self, snapshot: state_snapshot.StateSnapshot) -> None:
-        """The successor serves by this snapshot."""
+        """Called when the successor serves from this snapshot."""
 
 
 def socket_path(folder: str, name: str) -> Path:
-    """Where a gateway of this name listens for its successor."""
-    safe_name = "".join(character if character.isalnum() else "-" for character in name)[:MAX_SOCKET_NAME]
+    """The path at which a gateway of this name listens for its successor."""
+    safe_name = "".join(character if character.isalnum() else "-" for character in name)[:MAX_NAME_CHARACTERS]
     return Path(folder) / f"badgeryoke-{safe_name}.sock"
 
 
 @contextlib.contextmanager
 def _short_path(path: Path) -> Iterator[str]:
-    """The path as the system takes it: by its folder's descriptor where it is too long."""
+    """The path in a form that fits a socket's address: through its folder's descriptor if it is too long."""
     if len(os.fsencode(path)) <= MAX_SOCKET_PATH_BYTES:
         yield str(path)
         return
@@ -59,23 +59,23 @@
 
 
 class SnapshotSender:
-    """Listens for a successor, and sends it the state.  One successor at a time."""
+    """Listens for a successor and sends it the state; one successor at a time."""
 
     def __init__(self, path: Path, gateway: Predecessor) -> None:
         self._path, self._gateway = path, gateway
         self._server: asyncio.AbstractServer | None = None
-        self._successor: asyncio.StreamWriter | None = None  # the connection of one that serves
+        self._successor: asyncio.StreamWriter | None = None  # the connection of a successor that serves
         self._busy = False
-        self.ready = False  # a successor can ask
+        self.ready = False  # a successor can connect
 
     async def listen(self) -> None:
-        """Take the path over from whoever had it, in one step.  Where that fails it is logged, and a successor
+        """Listen at the path, atomically replacing an earlier socket there.  A failure is logged; a successor then
         starts without state."""
-        fresh = self._path.with_suffix(f".{os.getpid()}")
+        temporary_path = self._path.with_suffix(f".{os.getpid()}")
         try:
-            with _short_path(fresh) as short:
+            with _short_path(temporary_path) as short:
                 self._server = await asyncio.start_unix_server(self._accept, short, limit=MAX_LINE_BYTES)
-            fresh.replace(self._path)
+            temporary_path.replace(self._path)
             self.ready = True
         except OSError as error:
             log.warning("no successor can ask for state: %s", error)
@@ -96,7 +96,7 @@
         writer.close()
 
     async def _transfer(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """Whether the successor serves; False where it was told why it gets no state."""
+        """Send the state; returns whether the successor serves, False if it was sent an error instead."""
         line = await asyncio.wait_for(reader.readuntil(b"\n"), STEP_TIMEOUT_S)
         if line != TAKE_LINE:
             writer.write(b"ERR this process hands over version %d\n" % state_snapshot.VERSION)
@@ -113,7 +113,7 @@
         return True
 
     def close(self) -> None:
-        """The process ends.  The path is its successor's, where there is one."""
+        """Close the sockets when the process ends; the path stays if a successor has taken it over."""
         if self._server is not None:
             self._server.close()
             if self._successor is None:
@@ -123,14 +123,14 @@
 
 
 class SnapshotReceiver:
-    """Asks the old process for its state."""
+    """Requests the state of the old process."""
 
     def __init__(self, path: Path) -> None:
         self._path = path
         self._writer: asyncio.StreamWriter | None = None
 
     async def receive(self) -> state_snapshot.StateSnapshot | None:
-        """The state, or None where there is none to be had; logs why, unless no process was there."""
+        """The state, or None if it is unavailable; logs why, unless there is no old process."""
         try:
             with _short_path(self._path) as short:
                 connecting = asyncio.open_unix_connection(short)
@@ -142,7 +142,7 @@
             body = await asyncio.wait_for(reader.readexactly(length), STEP_TIMEOUT_S)
             return state_snapshot.decode(body, checksum)
         except FileNotFoundError:
-            pass  # no process was there
+            pass  # there is no old process
         except TRANSFER_ERRORS as error:
             log.warning("no state from an older process, starting as after a crash: %s", error or "no answer")
         if self._writer is not None:
@@ -151,7 +151,7 @@
         return None
 
     async def confirm_serving(self, on_predecessor_ended: Callable[[], None]) -> None:
-        """Tell the old process that this one serves, and wait for it to end."""
+        """Notify the old process that this one serves, and wait until it has ended."""
         if self._writer is not None:
             self._writer.write(SERVING_LINE)
             with contextlib.suppress(OSError):
