--- a/badgeryoke/gateway/discovery/client.py
+++ b/badgeryoke/gateway/discovery/client.py
@@ -1,10 +1,13 @@
 """The discovery client: keeps the endpoint list up to date by long polls.
 
-The protocol sets the time within which a change has to be known.  What a silent watch misses counts as
-notified 6 s after the silence began, or 2 s after the end of its poll's wait if that is later; any other
-change after 6 s; what the agent holds already, at once; after SIGHUP, 4 s later.  Silence means that this
-connection is broken: another is opened at once.  An error status, a refused or lost connection and a
-malformed response may mean that discovery is overloaded: the gateways back off.
+The protocol sets when a change counts as notified, that is, has to be known:
+- missed by a silent watch: 6 s after the silence began, or 2 s after the end of its poll's wait if that is later;
+- any other change: after 6 s;
+- held by the agent already: at once;
+- after SIGHUP: 4 s later.
+
+Silence means that this connection is broken: another one is opened at once.  An error status, a refused or lost
+connection and a malformed response may mean that discovery is overloaded: the gateways back off.
 docs/design/fleet.md, "The list's clock", derives the time limits for each fault and number of gateways.
 """
 
@@ -39,20 +42,20 @@
 
 log = logging.getLogger(__name__)
 
-# What the agent holds counts as notified from a process's first moment, so the cached list is used only
-# after a poll that failed later than this: one that was silent to its end, or the last of several lost ones.
+# A list that the agent holds counts as notified from the process's start, so the cached list is used only after a
+# poll that failed later than this: one that timed out in silence, or the last of several lost connections.
 CACHED_LIST_AFTER_S = 0.2
-# Without any list a process rejects requests at once, where one that is not ready leaves them to other
-# gateways.  But it has to be ready within 10 s of its start, and the start itself may take half of that.
+# A process without any list becomes ready after this time and rejects requests at once; until then requests go to
+# other gateways.  It has to be ready within 10 s of its start, and the start itself may take half of that.
 READY_AFTER_S = 5.0
-MIN_POLL_INTERVAL_S = 0.02  # where an agent holds no poll, or closes after each response
-# After silence, short polls find out whether only that connection was broken; from then on each is held as
-# long as any, so 200 gateways send 50 polls a second in an outage, and 70 on a quiet day.
+MIN_POLL_INTERVAL_S = 0.02  # for an agent that does not hold polls, or closes after each response
+# After silence, this many short polls find out whether only that connection was broken.  Later polls have the full
+# wait, so that 200 gateways send 50 polls per second in an outage, and 70 in normal operation.
 SHORT_POLLS_AFTER_SILENCE = 2
 
 
 class DiscoveryClient(Actor):
-    """Watches discovery and notifies of each change to the endpoint list."""
+    """Watches discovery and reports each change of the endpoint list."""
 
     def __init__(
         self,
@@ -63,8 +66,8 @@
         gateway_count: int,
         draw: Callable[[], float],
     ) -> None:
-        """`cached`: the list to use where discovery does not answer; `on_change` gets each change and the
-        endpoints present, by number; `draw` gives random numbers from 0 to 1."""
+        """`cached`: the list to use if discovery does not answer; `on_change` gets each change and the present
+        endpoints by number; `draw` returns random numbers from 0 to 1."""
         super().__init__(loop)
         self._address, self._cached, self._on_change = address, cached, on_change
         self.backoff = DiscoveryBackoff(gateway_count, draw)
@@ -76,17 +79,17 @@
         self._logged_fault = ""
         self._stopped = False
         self._started_at, self._polled_at = 0.0, -math.inf
-        self.ready = False  # requests may come: an endpoint list is known, or none came for long
+        self.ready = False  # can serve requests: an endpoint list is known, or none came in READY_AFTER_S
         self.has_list = False
 
     def start(self) -> None:
-        """Start to watch; the cached list is used where discovery does not answer."""
+        """Start to watch; the cached list is used if discovery does not answer."""
         self._started_at = self._loop.time()
         self._loop.call_later(READY_AFTER_S, self.deliver, self._become_ready)
         self._task = asyncio.ensure_future(self._watch())
 
     def stop(self) -> None:
-        """End the watch: its task returns once it has noticed the closed connection."""
+        """Stop watching; the task returns once it has noticed the closed connection."""
         self._stopped = True
         self._end_pause.set()
         if self._stream is not None:
@@ -94,32 +97,32 @@
 
     @property
     def notified(self) -> bool:
-        """Whether discovery itself has sent an endpoint list from the present address."""
+        """Whether discovery has sent an endpoint list from the current address."""
         return self._version is not None
 
     @property
     def numbers(self) -> dict[str, int]:
-        """The decision module's number of each endpoint, by discovery's id."""
+        """The decision module's number of each endpoint, by its id in discovery."""
         return self._table.numbers
 
     def update_settings(self, gateway_count: int) -> None:
-        """Take over changed settings: the number of gateways that share discovery."""
+        """Apply a new number of gateways that share discovery."""
         self.backoff.set_gateway_count(gateway_count)
 
     def switch_address(self, address: Address) -> None:
-        """Discovery is at another address: fetch the complete list there; until then the old one stands."""
+        """Switch to another address and fetch the complete list there; until then the old list stays in use."""
         if address == self._address:
             return
         self._address, self._version = address, None
-        # Nothing is known of the new address, nor against it.
+        # Failures of the old address say nothing about the new one.
         self.backoff.reset()
         self._last_poll_succeeded, self._logged_fault = False, ""
-        self._end_pause.set()  # it may last for seconds
+        self._end_pause.set()  # a pause may last for seconds
         if self._stream is not None:
             self._stream.close()
 
     def _use_cached_list(self) -> None:
-        """Discovery has not answered, or not with a list."""
+        """Use the cached list, since discovery has not answered with one."""
         if self._cached is not None and self._cached.endpoints and not self.ready:
             log.warning("discovery has not answered: using the cached endpoint list")
             self._apply(self._cached, ListScope.CACHED)
@@ -137,13 +140,13 @@
             self._on_change(change, self._table.endpoints)
 
     async def _watch(self) -> None:
-        """Poll without end; connect again after a failure."""
+        """Poll until stopped; reconnect after a failure."""
         while not self._stopped:
             address, error = self._address, None
             self._end_pause.clear()
             try:
                 await self._poll_connection(address)
-            except Exception as caught:  # whatever discovery sends, the watch goes on
+            except Exception as caught:  # nothing that discovery sends may end the watch
                 error = caught
             finally:
                 if self._stream is not None:
@@ -153,7 +156,7 @@
                 await self._pause_after(error)
 
     async def _pause_after(self, error: Exception) -> None:
-        """A poll failed: back off, unless the address is switched meanwhile."""
+        """Back off after a failed poll; a switch of the address ends the pause."""
         self._last_poll_succeeded = False
         self._log_fault(f"{type(error).__name__}: {error}")
         if self._loop.time() - self._started_at >= CACHED_LIST_AFTER_S:
@@ -165,7 +168,7 @@
                 await self._end_pause.wait()
 
     async def _poll_connection(self, address: Address) -> None:
-        """Poll on one connection; returns where it ended after a valid response."""
+        """Poll on one connection; returns when it is closed after a valid response."""
         started_at = self._loop.time()
         stream, connected = dial(address, MAX_BODY_BYTES + MAX_HEAD_BYTES)
         self._stream = stream
@@ -175,29 +178,29 @@
             wait_ms = self._wait_ms()
             await asyncio.sleep(max(self._polled_at + MIN_POLL_INTERVAL_S - self._loop.time(), 0.0))
             self._polled_at = self._loop.time()
-            # On a new connection the watch goes on from the version held: what was missed comes first.
+            # A new connection continues from the known version: the first answer has the changes that were missed.
             request = encode_request(address, self._version, wait_ms)
             response = await poll(stream, request, self._loop.time, started_at, wait_ms / 1000.0)
             keep_alive, started_at = response.keep_alive, self._loop.time()
             if self._stopped or address != self._address:
                 return  # a list from the old address must not undo what the new one sent
-            self._take_response(response.body)
+            self._apply_response(response.body)
 
     def _wait_ms(self) -> int:
         """How long discovery may hold the next poll."""
-        # After repeated silence nobody may be there, or an agent that is slow: short polls would never learn.
-        patient = self._last_poll_succeeded or self.backoff.silent_polls > SHORT_POLLS_AFTER_SILENCE
-        wait_ms = LONG_POLL_WAIT_MS if patient else PROBE_WAIT_MS
+        # After repeated silence the agent may be down or only slow, and a slow one never answers short polls in time.
+        use_long_poll = self._last_poll_succeeded or self.backoff.silent_polls > SHORT_POLLS_AFTER_SILENCE
+        wait_ms = LONG_POLL_WAIT_MS if use_long_poll else PROBE_WAIT_MS
         return wait_ms if self._version is not None else min(wait_ms, FULL_LIST_WAIT_MS)
 
-    def _take_response(self, body: bytearray) -> None:
-        """Apply the endpoint list of a response; raises ValueError where it is malformed or out of order."""
+    def _apply_response(self, body: bytearray) -> None:
+        """Apply the endpoint list of a response; raises ValueError if it is malformed or out of order."""
         snapshot = read_endpoint_snapshot(ujson.loads(bytes(body)))
         if not snapshot.full:
             if self._version is None:
                 raise ValueError("changes where the complete list was requested")
             if snapshot.version < self._version:
-                self._version = None  # discovery restarted its versions: what lies between was missed
+                self._version = None  # discovery restarted its versions: changes in between were missed
                 raise ValueError("changes up to an older version")
         self.backoff.record_answer()
         self._last_poll_succeeded = True
--- a/badgeryoke/gateway/discovery/endpoint_list.py
+++ b/badgeryoke/gateway/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's answers: the JSON of an endpoint list, validated and turned into typed values."""
+"""Parses discovery's answers: validates the JSON of an endpoint list and converts it to typed values."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from badgeryoke.decisions.interface import EndpointState
 from badgeryoke.gateway.address import Address, parse_address
 
-# Of any number: integers are exact in a float up to here, and a JSON number has no bound of its own.
+# Bound on any number: up to here integers are exact in a float, and JSON numbers have no bound of their own.
 MAX_NUMBER = 1e15
 STATES = {"active": EndpointState.UP, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
-NO_ADDRESS: Address = ("", 0)  # of an endpoint that is gone, whose entry needs none
+NO_ADDRESS: Address = ("", 0)  # for an endpoint that is gone, whose entry may lack an address
 
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One server as discovery names it."""
+    """One server as listed by discovery."""
 
     id: str
     address: Address
@@ -38,7 +38,7 @@
 
 
 def read_endpoint_snapshot(raw: object) -> EndpointSnapshot:
-    """Validate an endpoint list, as parsed from its JSON; raises ValueError naming the key at fault."""
+    """Validate an endpoint list, as parsed from its JSON; raises ValueError with the faulty key."""
     if not isinstance(raw, dict) or not isinstance(raw.get("servers"), list):
         raise ValueError("servers: expected a list")
     endpoints = [_read_endpoint(entry) for entry in raw["servers"]]
--- a/badgeryoke/gateway/discovery/endpoint_table.py
+++ b/badgeryoke/gateway/discovery/endpoint_table.py
@@ -1,12 +1,12 @@
-"""The endpoints known at present, each with the number by which the decision module knows it."""
+"""The current endpoints, each with its server number in the decision module."""
 
 from __future__ import annotations
 
 from badgeryoke.decisions.interface import EndpointList, EndpointState, ListScope, Server
 from badgeryoke.gateway.discovery.endpoint_list import Endpoint, EndpointSnapshot
 
-# The numbers of endpoints that are gone are forgotten once there are more numbers than this plus so many
-# for each endpoint present: one that returns soon keeps its number, and the table stays bounded.
+# The numbers of endpoints that are gone are dropped once there are more numbers than SPARE_NUMBERS plus
+# NUMBERS_PER_ENDPOINT for each present endpoint: one that returns soon keeps its number, and the table stays bounded.
 SPARE_NUMBERS, NUMBERS_PER_ENDPOINT = 64, 4
 
 
@@ -16,7 +16,7 @@
     __slots__ = ("_endpoints", "_last_number", "numbers")
 
     def __init__(self) -> None:
-        self.numbers: dict[str, int] = {}  # by discovery's id
+        self.numbers: dict[str, int] = {}  # by the endpoint's id in discovery
         self._last_number = 0
         self._endpoints: dict[int, Endpoint] = {}
 
@@ -26,7 +26,7 @@
         return dict(self._endpoints)
 
     def apply(self, snapshot: EndpointSnapshot, scope: ListScope) -> EndpointList:
-        """Take in a snapshot; returns it in the decision module's terms."""
+        """Apply a snapshot; returns it as an event for the decision module."""
         endpoints = dict(self._endpoints) if scope is ListScope.CHANGES else {}
         servers = []
         for endpoint in snapshot.endpoints:
@@ -48,7 +48,7 @@
             for number, endpoint in endpoints.items()
             if endpoint.state is not EndpointState.GONE
         }
-        self._forget_gone()
+        self._drop_gone_numbers()
         return EndpointList(scope, tuple(servers))
 
     def _number_of(self, endpoint_id: str) -> int:
@@ -58,7 +58,7 @@
             number = self.numbers[endpoint_id] = self._last_number
         return number
 
-    def _forget_gone(self) -> None:
+    def _drop_gone_numbers(self) -> None:
         if len(self.numbers) > SPARE_NUMBERS + NUMBERS_PER_ENDPOINT * len(self._endpoints):
             self.numbers = {
                 name: number for name, number in self.numbers.items() if number in self._endpoints
--- a/badgeryoke/gateway/discovery/long_poll.py
+++ b/badgeryoke/gateway/discovery/long_poll.py
@@ -15,22 +15,23 @@
 T = TypeVar("T")
 
 PATH = "/api/targets"
-# How long discovery may hold a long poll: short, so that one that died in silence is detected 2 s before a
+# How long discovery may hold a long poll.  Short, so that a connection that broke silently is detected 2 s before a
 # change has to be known.
 LONG_POLL_WAIT_MS = 3000
 PROBE_WAIT_MS = 100  # the same after a failure: the first answer proves that discovery is reachable
-FULL_LIST_WAIT_MS = 1000  # at most, for the complete list, which need not wait for a change
-# Without a byte for this long beyond the wait, or while connecting, the connection is given up as silent.
+FULL_LIST_WAIT_MS = 1000  # the longest wait for the complete list, which need not wait for a change
+# A connection without a byte for this long beyond the wait, or while connecting, is abandoned as silent.
 SILENCE_TIMEOUT_S = 1.0
-# The response has to be complete this long after the wait; on a new connection counted from its opening.
+# The response has to be complete this long after the wait, which on a new connection starts when connecting starts.
 RESPONSE_TIMEOUT_S = 1.8
 
 
 async def within(timeout_s: float, awaitable: Awaitable[T]) -> T:
-    """The awaitable's result; raises TimeoutError where there is none in time.
+    """The awaitable's result; raises TimeoutError if there is none in time.
 
-    On a machine that stalled, the timeout and the result are found in one turn of the event loop, and the
-    result counts.  asyncio.timeout would discard it, and wait_for a cancellation that crosses an error.
+    After a stall of the machine the timeout and the result may be due in the same iteration of the event loop, and
+    then the result counts.  asyncio.timeout would discard it, and wait_for would discard a cancellation that
+    coincides with an error.
     """
     future = asyncio.ensure_future(awaitable)
     await asyncio.wait((future,), timeout=timeout_s)
@@ -40,7 +41,7 @@
 
 
 def encode_request(address: Address, after_version: int | None, wait_ms: int) -> bytes:
-    """A request for the changes after a version, or for the complete list where it is None."""
+    """A request for the changes after a version, or for the complete list if the version is None."""
     query = "" if after_version is None else f"?after={after_version}&wait_ms={wait_ms}"
     return f"GET {PATH}{query} HTTP/1.1\r\nHost: {address[0]}:{address[1]}\r\n\r\n".encode()
 
@@ -50,11 +51,11 @@
 ) -> HttpResponse:
     """Send a request and read its response, which discovery may hold for `wait_s`.
 
-    `started_at`: when the connection's opening or its last response ended, by the clock `now`.  Raises
-    TimeoutError after silence, StreamClosedError where the connection is lost, HttpResponseError.
+    `started_at`: when connecting started or the last response ended, by the clock `now`.  Raises TimeoutError after
+    silence, StreamClosedError if the connection is lost, HttpResponseError if the response is invalid.
 
-    A head that comes early, or a 1xx, tells nothing about when the rest will come: after the wait each piece
-    has SILENCE_TIMEOUT_S to arrive, within the limit for the complete response.
+    After an early head or a 1xx response the rest may still take the whole wait: after the wait each piece has
+    SILENCE_TIMEOUT_S to arrive, within the limit for the complete response.
     """
     silent_at = now() + wait_s + SILENCE_TIMEOUT_S
     overdue_at = started_at + wait_s + RESPONSE_TIMEOUT_S
@@ -68,7 +69,8 @@
                 await within(deadline - now(), stream.read_bytes(READ_CHUNK_BYTES, partial=True))
             )
         except StreamClosedError as closed:
-            if closed.real_error is not None or not response.connection_closed():  # a reset is no end
+            # A reset completes no response.
+            if closed.real_error is not None or not response.connection_closed():
                 raise
             break
     return response
