--- a/badgeryoke/__init__.py
+++ b/badgeryoke/__init__.py
@@ -1,1 +1,1 @@
-"""badgeryoke: a gateway on real sockets that keeps prepaid-load resellers to their quotas."""
+"""badgeryoke: a gateway (proxy) that keeps prepaid-load resellers to their quotas."""
--- a/badgeryoke/__main__.py
+++ b/badgeryoke/__main__.py
@@ -1,4 +1,4 @@
-"""One real gateway: python -m badgeryoke."""
+"""Runs one gateway process: `python -m badgeryoke`."""
 
 import asyncio
 import os
@@ -12,11 +12,11 @@
 
 
 async def main() -> None:
-    """Serve until SIGTERM; raises ConfigError where the configuration cannot be used."""
+    """Serve until SIGTERM; raises ConfigError if the configuration is invalid."""
     root = Path.cwd()
     config = read_config(os.environ, root)
     configure_logging(config.operators.log.format, config.operators.log.level)
-    await GatewayApplication(config, reread=lambda: read_config(os.environ, root, again=True)).run()
+    await GatewayApplication(config, read_new_config=lambda: read_config(os.environ, root, again=True)).run()
 
 
 if __name__ == "__main__":
--- a/badgeryoke/gateway/__init__.py
+++ b/badgeryoke/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: sockets, files and processes around the decisions."""
+"""The gateway process: sockets, files and signals around the decision module."""
--- a/badgeryoke/gateway/actor.py
+++ b/badgeryoke/gateway/actor.py
@@ -1,6 +1,6 @@
-"""Actors: each has a mailbox, and handles its messages in order, without locks, on the event loop.
+"""Actors on the event loop: each handles the messages of its mailbox in order, without locks.
 
-Sockets belong to `badgeryoke.gateway.connecting`, the gateway's clock to `badgeryoke.gateway.wall_clock`.
+For sockets see `badgeryoke.gateway.connecting`, for the gateway's clock `badgeryoke.gateway.wall_clock`.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 
 class EventLoop(Protocol):
-    """What the actors use of the event loop; tests put a loop with a clock of their own in its place.
+    """The part of asyncio's event loop that actors use; tests substitute a loop with a simulated clock.
 
-    Arguments are Any, as in asyncio: a callback and what it is to be given belong together.
+    Callback arguments are Any, as in asyncio: their types depend on the callback.
     """
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> asyncio.Handle:
-        """Call back in the next round of the loop."""
+        """Call `callback` in the next iteration of the loop."""
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> asyncio.TimerHandle:
-        """Call back after `delay` seconds."""
+        """Call `callback` after `delay` seconds."""
 
     def time(self) -> float:
-        """The loop's own clock, seconds."""
+        """The loop's clock, in seconds."""
 
 
 class ActorScheduler:
-    """The event loop, and the actors that have messages.
+    """Runs the actors that have messages on the event loop.
 
-    One callback goes round all actors until none has any: what one actor posts to the next is handled in the
-    same round of the event loop, since a round of its own for each would cost more than the handling.
+    One loop callback runs the ready actors until no mailbox has messages, so that a message from one actor to
+    another is handled in the same loop iteration: one iteration per message would cost more than the handling.
     """
 
-    MAX_BATCHES_PER_CALLBACK = 10_000  # so that connections and timers are not kept waiting
+    MAX_BATCHES_PER_CALLBACK = 10_000  # bounds how long connections and timers wait
 
     def __init__(self, loop: EventLoop) -> None:
         self.call_soon, self.call_later, self.time = loop.call_soon, loop.call_later, loop.time
@@ -45,7 +45,7 @@
         self._scheduled = self._running = False
 
     def mark_ready(self, actor: Actor) -> None:
-        """An actor has messages."""
+        """Queue an actor that has messages."""
         self._ready.append(actor)
         if not self._scheduled and not self._running:
             self._scheduled = True
@@ -56,7 +56,7 @@
         self.run()
 
     def run(self) -> None:
-        """Let each actor that has messages handle them."""
+        """Run the actors that have messages."""
         if self._running:
             return
         self._running = True
@@ -73,40 +73,40 @@
 
 
 class Actor:
-    """Messages come in with post() and are handled in order; nobody else touches the actor's state."""
+    """Handles posted messages in order; only its own handlers change its state."""
 
     def __init__(self, loop: ActorScheduler) -> None:
         self._loop = loop
-        # Any: a handler and its own arguments.  A type for each message would cost an object a message.
+        # Any: each handler has its own arguments.  A class for each message type would cost an object per message.
         self._mailbox: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
 
     def post(self, handler: Callable[..., None], *args: Any) -> None:
-        """Leave a message: the handler and what it is to be given."""
+        """Add a message to the mailbox: a handler and its arguments."""
         if not self._mailbox:
             self._loop.mark_ready(self)
         self._mailbox.append((handler, args))
 
     def deliver(self, handler: Callable[..., None], *args: Any) -> None:
-        """The same from a callback of the event loop: the actors run at once."""
+        """Post a message from a callback of the event loop, and run the actors at once."""
         self.post(handler, *args)
         self._loop.run()
 
     def process_mailbox(self) -> None:
-        """Handle one batch: all messages that are there now.  Later ones wait for the actor's next batch."""
+        """Handle one batch: all messages in the mailbox now.  Later ones wait for the actor's next batch."""
         mailbox = self._mailbox
         for _ in range(len(mailbox)):
             handler, args = mailbox[0]
             try:
                 handler(*args)
-            except Exception:  # one message must not cost those behind it
+            except Exception:  # a failing message must not block the messages behind it
                 log.exception("message failed: %s", handler.__qualname__)
             mailbox.popleft()
         try:
             self.batch_ended()
-        except Exception:  # of one actor: the others must get their messages
+        except Exception:  # a failing actor must not keep the others from running
             log.exception("end of batch failed: %s", type(self).__name__)
         if mailbox:
             self._loop.mark_ready(self)
 
     def batch_ended(self) -> None:
-        """Called once after each batch: the place to write what the batch has gathered."""
+        """Hook that is called once after each batch, to write the output that the batch has collected."""
--- a/badgeryoke/gateway/address.py
+++ b/badgeryoke/gateway/address.py
@@ -1,14 +1,14 @@
-"""Network addresses as configuration files and discovery write them: `IP:PORT`."""
+"""Network addresses in the form of configuration files and discovery: `IP:PORT`."""
 
 from __future__ import annotations
 
 import ipaddress
 
-# IP address and port, in the form that the socket module takes.
+# IP address and port, as the socket module takes them.
 Address = tuple[str, int]
 
 MAX_PORT = 65_535
-SHOWN_CHARACTERS = 64  # of a malformed address, in the error's text
+MAX_QUOTED_CHARACTERS = 64  # of a malformed address, in the error text
 
 
 def parse_address(text: str) -> Address:
@@ -23,5 +23,5 @@
         if not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
             raise ValueError
     except ValueError:
-        raise ValueError(f"expected IP:PORT, got {text[:SHOWN_CHARACTERS]!r}") from None
+        raise ValueError(f"expected IP:PORT, got {text[:MAX_QUOTED_CHARACTERS]!r}") from None
     return host, int(port)
--- a/badgeryoke/gateway/application.py
+++ b/badgeryoke/gateway/application.py
@@ -1,4 +1,4 @@
-"""One gateway: its parts and its life put together, with what signals, operators and the cluster ask of it."""
+"""One gateway process: connects its parts and lifecycle to signals, to operators' calls and to the cluster."""
 
 from __future__ import annotations
 
@@ -21,52 +21,52 @@
 class GatewayApplication:
     """One gateway.
 
-    clock: Unix ms; the wall clock where none is given.
-    reread: reads the configuration again for a reload, raising ConfigError; None: SIGHUP does nothing.
+    clock: Unix ms; None: the wall clock.
+    read_new_config: reads the configuration for a reload, may raise ConfigError; None: SIGHUP does nothing.
 
-    Raises ConfigError where this gateway is no member of the cluster that the operators' file describes.
+    Raises ConfigError if this gateway is not a member of the cluster that the operators' file describes.
     """
 
     def __init__(
         self,
         config: Config,
         clock: Callable[[], float] | None = None,
-        reread: Callable[[], Config] | None = None,
+        read_new_config: Callable[[], Config] | None = None,
     ) -> None:
-        self._reread = reread
+        self._read_new_config = read_new_config
         loop = ActorScheduler(asyncio.get_running_loop())
         self.parts = build_parts(config, loop, clock or WallClock(time.monotonic, time.time))
         self.lifecycle = Lifecycle(self.parts)
-        self.done = self.lifecycle.done  # everything accepted has its response
+        self.done = self.lifecycle.done  # set once all accepted requests are answered
         _check_membership(config)
 
     def start(self) -> None:
-        """Listen, connect and watch."""
+        """Start to listen, to connect, and to watch discovery."""
         self.lifecycle.start(self, self)
 
     async def run(self) -> None:
-        """Serve until SIGTERM, then answer all that was accepted."""
+        """Serve until SIGTERM, then answer all accepted requests."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.end)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.end)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         self.start()
         await self.done.wait()
         await self.lifecycle.cancel_tasks()
 
     def reload(self) -> None:
-        """SIGHUP: read the configuration again and go by its settings and addresses."""
-        if self._reread is not None:
-            reload_config(self.parts, self._reread)
+        """SIGHUP: read the configuration again and apply its settings and addresses."""
+        if self._read_new_config is not None:
+            reload_config(self.parts, self._read_new_config)
 
     def end(self) -> None:
-        """SIGTERM: answer everything, then end."""
+        """SIGTERM: start the graceful shutdown."""
         self.lifecycle.terminate()
 
-    # What the operators may ask (admin.server.AdminOperations), and the cluster (DrainableGateway).
+    # The interfaces for operators (admin.calls.AdminOperations) and for the cluster (DrainableGateway).
 
     def status(self) -> tuple[bool, str]:
-        """Whether this process can serve, and its state: an ending one cannot, a drained one could."""
+        """Whether this process can serve, and its state; one that shuts down cannot serve, a drained one can."""
         shutdown, listening = self.lifecycle.shutdown, self.lifecycle.listening
         if shutdown.ending:
             return False, shutdown.state.value
@@ -76,21 +76,21 @@
 
     @property
     def drained(self) -> bool:
-        """Clients are rejected, and the load balancer has had time to notice."""
+        """Whether clients are rejected and the load balancer has had time to notice."""
         return self.lifecycle.shutdown.state is ShutdownState.PAUSED
 
     @property
     def unanswered(self) -> int:
-        """How many requests have no final response yet."""
+        """The number of requests without a final response."""
         return self.parts.dispatcher.unanswered
 
     def pause(self) -> str:
-        """Send clients away, without an end of the process; gives why not, or nothing."""
+        """Reject clients while the process runs on; returns the reason if that is impossible, else ""."""
         self.lifecycle.post(ShutdownEvent.PAUSE)
         return ""
 
     def resume(self) -> str:
-        """Accept clients again; gives why not, or nothing."""
+        """Accept clients again; returns the reason if that is impossible, else ""."""
         shutdown = self.lifecycle.shutdown
         if shutdown.ending:
             return f"it is {shutdown.state.value}, and does not come back"
@@ -98,8 +98,8 @@
         return ""
 
     def metrics(self) -> str:
-        """The metrics, one a line."""
-        from badgeryoke.gateway.admin.rendering import (  # loaded only where it is asked for
+        """The metrics, one per line."""
+        from badgeryoke.gateway.admin.rendering import (  # loaded only when metrics are requested
             Gauges,
             render_metrics,
         )
@@ -107,7 +107,7 @@
         dispatcher = self.parts.dispatcher
         upstreams = len(self.parts.upstreams.by_number)
         return render_metrics(
-            dispatcher.metrics, Gauges(dispatcher.unanswered, upstreams, dispatcher.avoided)
+            dispatcher.metrics, Gauges(dispatcher.unanswered, upstreams, dispatcher.unavailable_servers)
         )
 
     @property
@@ -116,14 +116,14 @@
         return self.parts.cluster is not None
 
     async def fleet_call(self, call: bytes) -> bytes:
-        """One call for the cluster, JSON in and out (badgeryoke.gateway.cluster.admin_calls)."""
+        """Answer one admin call for the cluster, JSON in and out (badgeryoke.gateway.cluster.admin_calls)."""
         if self.parts.cluster is None:
             return b"-ERR fleet is off: [fleet] in deploy/badgeryoke.toml switches it on\n"
         return await self.parts.cluster.answer(call)
 
 
 def _check_membership(config: Config) -> None:
-    """Raises ConfigError where the cluster is on and this gateway is none of its members."""
+    """Raise ConfigError if the cluster is on and this gateway is not one of its members."""
     settings = config.operators.fleet
     if settings is None:
         return
--- a/badgeryoke/gateway/attempt.py
+++ b/badgeryoke/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a server, from its start to the one value that says how it ended."""
+"""One attempt at a server, from its start to its outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class AttemptStage(Enum):
-    """How far an attempt has come."""
+    """The progress of an attempt."""
 
     NOT_WRITTEN = "not written"
     WRITTEN = "written completely"
@@ -25,19 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnd:
-    """How an attempt ended: the verdict, the stage it had reached, and what the server gave."""
+    """The outcome of an attempt: the verdict, the stage that it had reached, and the server's response."""
 
     verdict: Verdict
     stage: AttemptStage
     value: bytes = b""
-    true_units: float = 0.0  # 0: the server did not say
-    load_report: tuple[float, ...] = ()  # figures in the order of the settings' report names
-    detail: str = ""  # for people
+    true_units: float = 0.0  # 0: not reported by the server
+    load_report: tuple[float, ...] = ()  # values in the order of the settings' report names
+    detail: str = ""  # the cause, in words
 
 
 @dataclass(slots=True)
 class Request:
-    """A client's request in the few values that the decisions and the upstreams use."""
+    """A client's request: the values that the decision module and the upstreams use."""
 
     id: str
     request_class: str
@@ -45,19 +45,19 @@
     customer: int
     remaining_ms: float  # before the client gives up
     units: float
-    gateway_set_size: int  # over how many gateways the customer's requests are spread
-    first_gateway: int = 0  # the index of the first of these
-    retry: bool = False  # the client says that it has sent this before
+    gateway_set_size: int  # the number of gateways over which the customer's requests are spread
+    first_gateway: int = 0  # the index of the first gateway of that set
+    retry: bool = False  # the client marked it as sent before
     idempotency_key: str = ""
     body: bytes | None = None
-    idempotent: bool | None = None  # None: its wire does not say, and the dispatcher fills it in
-    # A repeat of something another gateway may have run: no attempt may be written after this time.
+    idempotent: bool | None = None  # None: not stated on the wire; the dispatcher sets it from the class
+    # Set for a retry of a request that another gateway may have run: no attempt may be written after this, Unix ms.
     send_by_ms: float | None = None
-    accepts_stream: bool = False  # the client's connection can take a long value in pieces
+    accepts_stream: bool = False  # the client's connection can take a streamed response
 
 
 def parse_customer(digits: bytes) -> int:
-    """A customer's number from its 16 hex digits; raises ValueError."""
+    """Parse a customer's number of 16 hex digits; raises ValueError."""
     if len(digits) != CUSTOMER_DIGITS or not digits.isalnum() or not digits.isascii():
         raise ValueError("customer: expected 16 hex digits")
     number = int.from_bytes(bytes.fromhex(digits.decode("ascii")), "big")
@@ -67,21 +67,21 @@
 
 
 class Upstream(Protocol):
-    """A server, as the dispatcher sees it, whatever its wire protocol."""
+    """The dispatcher's interface to a server, for any wire protocol."""
 
-    def start(self, execution: Attempt) -> None:
-        """Carry out an attempt; it ends by a call of the attempt's own methods, never by an exception."""
+    def start(self, attempt: Attempt) -> None:
+        """Start an attempt; its outcome is reported by a call of the attempt's methods, never by an exception."""
 
 
 class Attempt:
-    """One attempt.  Its first end counts, and every later one is ignored.
+    """One attempt.  Only its first outcome counts; later ones are ignored.
 
     started_ms, deadline_ms: Unix ms.
-    on_end: called once, with the attempt and how it ended.
+    on_end: called once, with the attempt and its outcome.
     potential_duplicate: an earlier attempt of the same request may have run.
     on_written: called when the last byte has been written.
-    write_by_ms: after this time servers no longer know the idempotency key, and the attempt must not be
-    written: a connection may take long to come up.
+    write_by_ms: Unix ms after which servers no longer know the idempotency key.  The attempt must not be written
+    later; it can get late while its connection is being established.
     """
 
     __slots__ = (
@@ -118,33 +118,33 @@
         self.started_ms, self.deadline_ms = started_ms, deadline_ms
         self.potential_duplicate = potential_duplicate
         self.write_by_ms = write_by_ms if request.send_by_ms is None else min(write_by_ms, request.send_by_ms)
-        self.write_started = False  # its first byte may be out
-        self.final = False  # no attempt will follow this one
+        self.write_started = False  # its first byte may have been sent
+        self.final = False  # no further attempt will follow
         self.stage = AttemptStage.NOT_WRITTEN
-        self.on_abort: Callable[[], None] | None = None  # set by the upstream: ends the attempt there
-        self.response_stream: ResponseStream | None = None  # a long value has begun
+        self.on_abort: Callable[[], None] | None = None  # set by the upstream: releases its resources
+        self.response_stream: ResponseStream | None = None  # a streamed response has begun
         self.on_response_started: Callable[[ResponseStream], None] | None = None  # set by the dispatcher
         self._on_end, self._on_written = on_end, on_written
 
     @property
     def ended(self) -> bool:
-        """Whether the attempt's end is known; what comes later is ignored."""
+        """Whether the attempt has an outcome; later ones are ignored."""
         return self.stage is AttemptStage.ENDED
 
     def may_be_written(self, now_ms: float) -> bool:
-        """Whether there is still a point, and no harm, in writing it."""
+        """Whether it has not been written and neither its deadline nor `write_by_ms` has passed."""
         return self.stage is AttemptStage.NOT_WRITTEN and now_ms < min(self.deadline_ms, self.write_by_ms)
 
     def written(self) -> None:
-        """The last byte has been written: from here on the request may have run."""
+        """Record that the last byte has been written: from now on the request may have run."""
         if self.stage is AttemptStage.NOT_WRITTEN:
             self.write_started, self.stage = True, AttemptStage.WRITTEN
             if self._on_written is not None:
                 self._on_written()
 
     def response_started(self, stream: ResponseStream) -> None:
-        """The first bytes of a long value have come: it is the client's now, and is aborted for nothing but
-        the client's disconnecting."""
+        """Record the first bytes of a streamed response.  From now on the attempt is aborted only if the client
+        disconnects."""
         if self.stage is AttemptStage.ENDED or self.on_response_started is None:
             stream.cancel()
             return
@@ -152,31 +152,32 @@
         self.on_response_started(stream)
 
     def succeeded(self, value: bytes, true_units: float = 0.0, load_report: tuple[float, ...] = ()) -> None:
-        """The server gave the value."""
+        """Record that the server returned a value."""
         self._end(Verdict.OK, value=value, true_units=true_units, load_report=load_report)
 
     def failed(self, detail: str, load_report: tuple[float, ...] = ()) -> None:
-        """The server says that it failed: the request may have run."""
+        """Record an error response of the server: the request may have run."""
         self._end(Verdict.ERROR, load_report=load_report, detail=detail)
 
     def rejected(self, detail: str) -> None:
-        """The server says that it never began."""
+        """Record that the server rejected the request without running it."""
         self._end(Verdict.QUEUE_FULL, detail=detail)
 
     def connection_lost(self, detail: str) -> None:
-        """The connection never came up or is gone: what that proves depends on the stage reached."""
+        """Record that connecting failed or the connection was lost; the verdict depends on the stage reached."""
         verdict = Verdict.CONNECT_FAILED if self.stage is AttemptStage.NOT_WRITTEN else Verdict.RESET
         self._end(verdict, detail=detail)
 
     def not_sent(self, detail: str) -> None:
-        """It was not sent, and will not be."""
+        """Record that the attempt was not sent and will not be."""
         self._end(Verdict.NOT_SENT, detail=detail)
 
     def abort(self, verdict: Verdict, final: bool = False) -> None:
-        """Stop waiting: cancelled or timed out.  An attempt whose writing never started could not connect; one
-        whose writing did may go out completely before the upstream hears of this, and so may run.
+        """Abort the attempt, which was cancelled or has timed out.
 
-        A response stream that has begun is aborted only where this is `final`.
+        Before the first byte is written the verdict is CONNECT_FAILED.  Later the rest may be sent before the
+        upstream is notified, so that the request may run.  A response stream that has begun is aborted only if
+        `final`.
         """
         if self.response_stream is not None and not final:
             return
--- a/badgeryoke/gateway/connecting.py
+++ b/badgeryoke/gateway/connecting.py
@@ -1,4 +1,4 @@
-"""Sockets and streams: how a connection is opened, watched for its end, and read."""
+"""Opens connections, reads from them and reports their end."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 
 
 def new_socket(address: tuple[str, int]) -> socket.socket:
-    """A TCP socket for an address, which sends small messages at once (TCP_NODELAY)."""
+    """A TCP socket for an address, with TCP_NODELAY so that small messages are sent at once."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-    made = socket.socket(family, socket.SOCK_STREAM)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return made
+    sock = socket.socket(family, socket.SOCK_STREAM)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    return sock
 
 
 def dial(address: tuple[str, int], max_buffered_bytes: int) -> tuple[IOStream, asyncio.Future[IOStream]]:
-    """A stream that is connecting, and a future that is done once it has, or has failed with StreamClosedError.
+    """Start to connect; returns the stream, and a future that is done when it is connected or that raises
+    StreamClosedError.
 
-    Nothing may watch the socket before: one that has not begun to connect reports a hang-up, which Tornado
-    takes for the end of the connecting, and what is written then counts as sent on a connection that never
-    came up.  A close callback watches, and so belongs behind this: `on_close`.
+    Nothing may watch the socket before it starts to connect: until then it reports a hang-up, which Tornado takes
+    for the end of connecting, so that data would count as sent on a connection that was never established.  A
+    close callback watches the socket, so it has to be set after this call: `on_close`.
     """
     stream = IOStream(new_socket(address), max_buffer_size=max_buffered_bytes)
     return stream, stream.connect(address)
 
 
 def on_close(stream: IOStream, callback: Callable[[], None]) -> None:
-    """Call back at a stream's end, also where it has ended already."""
+    """Call back when a stream closes, or at once if it is closed already."""
     if stream.closed():
         callback()
     else:
@@ -39,7 +40,7 @@
 
 
 async def pump(stream: IOStream, receive: Callable[[bytes], None]) -> None:
-    """Pass on what a connection brings, piece by piece, until it ends: the one coroutine that it costs."""
+    """Pass received bytes to `receive` until the connection ends; the only coroutine that a connection needs."""
     try:
         while True:
             receive(await stream.read_bytes(READ_CHUNK_BYTES, partial=True))
--- a/badgeryoke/gateway/decision_module.py
+++ b/badgeryoke/gateway/decision_module.py
@@ -1,6 +1,6 @@
-"""The decision module and the counter, as the dispatcher sees them.
+"""The dispatcher's interfaces to the decision module and to the quota counter.
 
-Optional engines are loaded only where they are switched on: they cost memory.
+Optional engines are loaded only if they are switched on, to save memory.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 
 class Counter(Protocol):
-    """The shared quota counter, as the dispatcher sees it."""
+    """The dispatcher's interface to the shared quota counter."""
 
     def add(self, name: int, units: float, life_ms: float, done: Callable[[api.CounterReply], None]) -> None:
-        """Make one call; `done` is called once, later."""
+        """Make one call; `done` is called once, asynchronously."""
 
 
 class DecisionModule(Protocol):
-    """What decides: the engine, or the engine under a counter-health monitor."""
+    """The decision engine, with or without a counter-health monitor."""
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event at `now` (Unix ms); gives the actions to execute, in their order."""
+        """Decide on one event at `now` (Unix ms); returns the actions to execute, in order."""
 
     def avoided(self, now: float) -> int:
-        """How many of the listed servers get no requests now."""
+        """The number of listed servers that get no requests at present."""
 
     def update_settings(self, settings: api.Settings) -> None:
-        """Decide by new settings; requests in flight keep what they began with."""
+        """Apply new settings; requests in flight keep those that they began with."""
 
 
 def decision_engine_type(with_reservations: bool) -> type[DecisionEngine]:
-    """The engine to decide with; with reservations, one that knows priority ranks."""
+    """The engine's class; with reservations, the one that supports priority ranks."""
     if not with_reservations:
         return DecisionEngine
     from badgeryoke.decisions.priority_admission import PriorityDecisionEngine
@@ -45,7 +45,7 @@
 
 
 def monitored_engine(settings: api.Settings, seed: int, engine_type: type[DecisionEngine]) -> MonitoredEngine:
-    """An engine under a counter-health monitor."""
+    """An engine with a counter-health monitor."""
     from badgeryoke.decisions.counter_health.monitored_policy import MonitoredEngine
 
     return MonitoredEngine(settings, seed, engine_type)
--- a/badgeryoke/gateway/dispatcher.py
+++ b/badgeryoke/gateway/dispatcher.py
@@ -1,10 +1,10 @@
-"""The dispatcher: requests come in, attempts go out, and each request gets exactly one final response.
+"""The dispatcher: starts attempts for requests and gives each request exactly one final response.
 
-No wire protocol is known here.  The clock, the event loop, the upstreams and the counter are passed in.
+It is independent of wire protocols.  The clock, the event loop, the upstreams and the counter are passed in.
 
-A request's way: `validate`, `submit`, `_accept` (or an immediate rejection), `_request_decision`; then, as the
-decision module says, `_start_attempt` and `_attempt_ended`, until `_respond` gives the final response.  The
-request is forgotten once its last attempt has ended, too.
+The path of a request: `validate`, `submit`, `_accept` (or an immediate rejection), `_request_decision`; then, as
+the decision module directs, `_start_attempt` and `_attempt_ended`, until `_respond` gives the final response.  The
+request is removed once its last attempt has ended, too.
 """
 
 from __future__ import annotations
@@ -38,24 +38,24 @@
 
 log = logging.getLogger(__name__)
 
-# The final response is given this long before the client gives up: it has to get there, and the loop may be
-# busy.  For a short deadline it is no more than this fraction of it.
+# The final response is given this long before the client's deadline: it has to reach the client, and the event loop
+# may be busy.  For a short deadline the margin is at most this fraction of it.
 MAX_RESPONSE_GUARD_MS = 15.0
 MAX_RESPONSE_GUARD_FRACTION = 0.1
-FALLBACK_RETRY_AFTER_MS = 100.0  # of rejections that the decision module did not make
+FALLBACK_RETRY_AFTER_MS = 100.0  # for rejections that the decision module did not make
 MAX_PENDING_REQUESTS = 10_000
-MAX_BODIES_BYTES = 32 * 1024 * 1024  # of all pending requests together, where no lower bound is given
-DEFAULT_OBJECTIVE_MS = 1000.0  # where the settings have no class
-SAME_DEADLINE_MS = 1.0  # an attempt's deadline this close to the request's gets no timer of its own
-FAULT_LOG_INTERVAL = 1000  # the first fault of the decision module is logged, and each so many-th
+MAX_BODIES_BYTES = 32 * 1024 * 1024  # default bound on the bodies of all pending requests together
+DEFAULT_OBJECTIVE_MS = 1000.0  # the latency objective if the settings have no class
+DEADLINE_TOLERANCE_MS = 1.0  # an attempt's deadline this close to the request's gets no timer of its own
+FAULT_LOG_INTERVAL = 1000  # the first fault of the decision module is logged, then one in this many
 
 
 class Dispatcher(Actor):
-    """Drives one decision module.
+    """Passes events to one decision module and executes its actions.
 
-    find_upstream: the upstream of a server's number; None for a server that is not listed any more.
-    max_bodies_bytes: bound on the bodies of all pending requests; what would pass it is rejected.
-    monitor_counter: put a counter-health monitor around the decision module.
+    find_upstream: returns the upstream of a server number, None if the server is no longer listed.
+    max_bodies_bytes: bound on the bodies of all pending requests; requests that would exceed it are rejected.
+    monitor_counter: add a counter-health monitor to the decision module.
     with_reservations: decide with priority ranks, for customers with a reservation.
     """
 
@@ -81,13 +81,13 @@
         self._clock, self._find_upstream, self._counter = clock, find_upstream, counter
         self._max_bodies_bytes = max_bodies_bytes
         self._validator = RequestValidator(settings)
-        self.validate = self._validator.validate  # a bound method: a call of our own would cost each request
+        self.validate = self._validator.validate  # bound directly: a wrapper would cost a call per request
         self._shedder = LoadShedder(seed)
         self.record_loop_lag = self._shedder.record_loop_lag
         self._apply_settings(settings)
-        self._open_ids: set[str] = set()  # the clients' ids of requests without a final response
-        self._pending: dict[str, PendingRequest] = {}  # by the dispatcher's own ids
-        self._timers: dict[int, asyncio.TimerHandle] = {}  # by the decision module's tokens
+        self._open_ids: set[str] = set()  # client-assigned ids of requests without a final response
+        self._pending: dict[str, PendingRequest] = {}  # by the id that the dispatcher assigns
+        self._timers: dict[int, asyncio.TimerHandle] = {}  # by the decision module's token
         self._last_id = self._bodies_bytes = 0
         self.decision_faults = 0  # exceptions of the decision module
         self.metrics = Metrics(self._validator.classes)
@@ -95,7 +95,7 @@
     # Settings and state.
 
     def enable_reservations(self, leases: ReservationLeases, now: Callable[[], float]) -> None:
-        """Draw requests from this gateway's leases before deciding on them; `now` is the leases' clock, ms."""
+        """Draw requests' units from this gateway's leases before the decision; `now` is the leases' clock, ms."""
         from badgeryoke.gateway.reserved_admission import ReservedAdmission
 
         self._reserved_admission = ReservedAdmission(
@@ -103,14 +103,14 @@
         )
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        self._response_slack_ms = settings.response_slack_ms  # for the way to a server
+        self._response_slack_ms = settings.response_slack_ms  # allowance for the transit to a server
         self._shortest_objective_ms = min(
             (request_class.latency_objective_ms for request_class in settings.classes),
             default=DEFAULT_OBJECTIVE_MS,
         )
 
     def update_settings(self, settings: api.Settings) -> None:
-        """Go by new settings, behind the messages that have come already."""
+        """Apply new settings, after the messages that are in the mailbox already."""
         self.post(self._update_settings, settings)
 
     def _update_settings(self, settings: api.Settings) -> None:
@@ -121,12 +121,12 @@
 
     @property
     def unanswered(self) -> int:
-        """How many requests have no final response yet."""
+        """The number of requests without a final response."""
         return sum(1 for pending in self._pending.values() if pending.respond is not None)
 
     @property
-    def avoided(self) -> int:
-        """How many of the listed servers get no requests now."""
+    def unavailable_servers(self) -> int:
+        """The number of listed servers that get no requests at present."""
         return self._module.avoided(self._clock())
 
     def update_endpoints(self, endpoints: api.EndpointList) -> None:
@@ -134,22 +134,22 @@
         self.post(self._handle_event, endpoints)
 
     def take_snapshot(self, names: dict[int, str]) -> StateSnapshot | str:
-        """The state for a successor, servers by their names in discovery; or why there is none."""
-        from badgeryoke.decisions import state_snapshot  # loaded only where a process is replaced
+        """The state for a successor, with servers by their names in discovery; or why there is none."""
+        from badgeryoke.decisions import state_snapshot  # loaded only for a hot restart
 
         if not isinstance(self._module, DecisionEngine):
             return "the counter is watched, and what the watch knows is not handed over"
         return state_snapshot.take_snapshot(self._module, names)
 
     def mark_transferred(self, snapshot: StateSnapshot) -> None:
-        """The successor serves by this snapshot: what it holds is not this process's to use any more."""
+        """Stop using the quota in this snapshot, from which the successor serves now."""
         from badgeryoke.decisions import state_snapshot
 
         if isinstance(self._module, DecisionEngine):
             state_snapshot.mark_transferred(self._module, snapshot)
 
     def restore_snapshot(self, snapshot: StateSnapshot, numbers: dict[str, int]) -> None:
-        """Go on from a predecessor's state, behind the endpoint list that has come; servers' numbers by name."""
+        """Restore a predecessor's state, after the endpoint list received before; `numbers`: servers by name."""
         self.post(self._restore_snapshot, snapshot, numbers)
 
     def _restore_snapshot(self, snapshot: StateSnapshot, numbers: dict[str, int]) -> None:
@@ -165,15 +165,14 @@
     def submit(self, request: Request, respond: Callable[[Response], None]) -> Callable[[], None]:
         """Accept a validated request: `respond` is called once, with its final response.
 
-        The function that comes back reports that the client has disconnected, after which `respond` is not
-        called.
+        Returns a function that reports that the client has disconnected; after it `respond` is not called.
         """
         self._last_id += 1
-        # An id of our own: a client that repeats one must not cost another its response.
+        # Not the client's id: a client that repeats an id must not cost another request its response.
         request_id = str(self._last_id)
         guard_ms = min(MAX_RESPONSE_GUARD_MS, MAX_RESPONSE_GUARD_FRACTION * request.remaining_ms)
         request_class = self._validator.classes[request.request_class]
-        # Stored with the request, whatever new settings make of its class.
+        # Stored with the request, since new settings may change its class.
         request.idempotent = request_class.idempotency is api.Idempotency.IDEMPOTENT
         deadline_ms = self._clock() + request.remaining_ms - guard_ms
         pending = PendingRequest(request_id, request, respond, deadline_ms, request_class)
@@ -191,7 +190,7 @@
         self._open_ids.add(request.id)
         self._pending[pending.id] = pending
         self._bodies_bytes += body_bytes
-        # The dispatcher's own timer keeps the deadline, so that no fault of the module loses a request.
+        # The deadline has a timer of the dispatcher, so that no fault of the decision module loses a request.
         pending.deadline_timer = self._loop.call_later(
             remaining_ms / 1000.0, self.deliver, self._deadline_expired, pending
         )
@@ -205,11 +204,11 @@
     def _immediate_response(
         self, pending: PendingRequest, remaining_ms: float, body_bytes: int
     ) -> Response | None:
-        """The response to a request that is not accepted; None for one that is."""
+        """The response to a request that is not accepted; None if it is accepted."""
         if pending.request.id in self._open_ids:
-            # Servers know a request by its id: they would take a second one for a copy of the first.
+            # Servers identify a request by its id: they would treat the second one as a copy of the first.
             return Failed("id of a request that is open")
-        if self._settings_overtook(pending):
+        if self._settings_changed_for(pending):
             return Rejected(FALLBACK_RETRY_AFTER_MS)
         reserved = self._reserved_admission is not None and self._reserved_admission.reserve(pending)
         if (
@@ -223,7 +222,7 @@
         return None
 
     def _respond_undecided(self, pending: PendingRequest, response: Response) -> None:
-        """The final response to a request that was not accepted."""
+        """Give the final response to a request that was not accepted."""
         respond, pending.respond = pending.respond, None
         if pending.reserved_units is not None:
             pending.unserved_cause = UnservedCause.GATEWAY
@@ -232,24 +231,27 @@
             respond(response)
 
     def _reservation_wait_ended(self, pending: PendingRequest) -> None:
-        """A request has waited for reserved units; its client may have left, or it has its response."""
-        if pending.respond is not None and self._settings_overtook(pending):
+        """Decide on a request that has waited for reserved units, unless it is answered or its client has
+        disconnected."""
+        if pending.respond is not None and self._settings_changed_for(pending):
             pending.unserved_cause = UnservedCause.GATEWAY
             self._respond(pending, Rejected(FALLBACK_RETRY_AFTER_MS))
         elif pending.respond is not None:
             self._request_decision(pending, pending.deadline_ms - self._clock())
 
-    def _settings_overtook(self, pending: PendingRequest) -> bool:
-        """Whether new settings came between a request's validation and the decision module: the module would
-        decide on its retries by another rule than it was validated and is encoded by.  Nothing has run, so a
-        rejection does no harm."""
+    def _settings_changed_for(self, pending: PendingRequest) -> bool:
+        """Whether new settings changed a request's class or removed its plan since its validation.
+
+        The decision module would decide on retries by another rule than that by which the request was validated
+        and is encoded.  Nothing has run yet, so a rejection does no harm.
+        """
         request_class = self._validator.classes.get(pending.request.request_class)
         return (
             request_class is not pending.request_class and request_class != pending.request_class
         ) or pending.request.plan not in self._validator.plans
 
     def _request_decision(self, pending: PendingRequest, remaining_ms: float) -> None:
-        """Bring a request to the decision module."""
+        """Pass a request to the decision module."""
         request = pending.request
         self._handle_event(
             api.Request(
@@ -279,7 +281,7 @@
     # Deadlines.
 
     def answer_all_now(self) -> None:
-        """No time is left: every request is given its final response now."""
+        """Give every pending request its final response now, since the time for the shutdown is over."""
         for pending in list(self._pending.values()):
             self.post(self._deadline_expired, pending)
 
@@ -288,7 +290,7 @@
             return
         if pending.attempt is not None:
             pending.attempt.abort(api.Verdict.TIMEOUT, final=True)
-        # Behind the attempt's outcome, to which the decision module may respond.
+        # Posted after the attempt's outcome, to which the decision module may respond.
         self.post(self._answer_expired, pending)
 
     def _answer_expired(self, pending: PendingRequest) -> None:
@@ -300,7 +302,7 @@
         self._answer_without_decision(pending)
 
     def _answer_without_decision(self, pending: PendingRequest) -> None:
-        """The final response where the decision module gave none."""
+        """Give the final response to a request that has none from the decision module."""
         if pending.repeat_is_harmless or not pending.may_have_run:
             self._respond(pending, Rejected(FALLBACK_RETRY_AFTER_MS, pending.may_have_run))
         else:
@@ -310,11 +312,11 @@
     # The decision module's events and actions.
 
     def _handle_event(self, event: api.Event, pending: PendingRequest | None = None) -> None:
-        """Give the decision module one event and execute its actions."""
+        """Pass an event to the decision module and execute its actions."""
         now = self._clock()
         try:
             actions = self._module.handle(now, event)
-        except Exception:  # whatever is wrong in the module, it must cost no request its response
+        except Exception:  # no fault of the decision module may cost a request its response
             self._record_decision_fault(event)
             if pending is not None and pending.respond is not None and pending.attempt is None:
                 self._answer_without_decision(pending)
@@ -322,7 +324,7 @@
         for action in actions:
             self._execute(now, action)
         if self._monitored_engine is not None and self._monitored_engine.detector.changes:
-            from badgeryoke.gateway.counter_state_log import log_counter_changes  # as the monitor itself
+            from badgeryoke.gateway.counter_state_log import log_counter_changes  # for the monitor only
 
             log_counter_changes(self._monitored_engine)
 
@@ -353,7 +355,7 @@
                     max(at_ms - now, 0.0) / 1000.0, self.deliver, self._timer_fired, token
                 )
             case api.CancelAttempt(id=request_id, attempt=number):
-                # Ignored by an attempt whose response stream has begun.
+                # An attempt whose response stream has begun ignores it.
                 pending = self._pending.get(request_id)
                 attempt = None if pending is None else pending.attempt
                 if attempt is not None and attempt.number == number:
@@ -361,15 +363,15 @@
             case api.Log(text=text):
                 log.info("decision module: %s", text)
             case api.Subscribe() | api.CheckHealth():
-                pass  # discovery is watched from the start, and servers get no health checks
+                pass  # discovery is always watched, and servers get no health checks
 
     def _timer_fired(self, token: int) -> None:
         if self._timers.pop(token, None) is not None:
             self._handle_event(api.TimerFired(token))
 
     def flush_timers(self) -> None:
-        """Fire the decision module's timers now: all is answered and the gateway ends.  Units that the module
-        has gathered and not reported would otherwise be lost to the other gateways."""
+        """Fire the decision module's timers now, when all requests are answered and the gateway ends.  Otherwise
+        the other gateways would never learn of the units that the module has not reported yet."""
         for token, timer in list(self._timers.items()):
             timer.cancel()
             self.post(self._timer_fired, token)
@@ -414,9 +416,9 @@
         attempt.on_response_started = lambda stream: self.post(
             self._response_started, pending, attempt, stream
         )
-        if attempt.deadline_ms < pending.deadline_ms - SAME_DEADLINE_MS:
-            # As a message to the dispatcher: the connection is closed before the next attempt is written
-            # anywhere.
+        if attempt.deadline_ms < pending.deadline_ms - DEADLINE_TOLERANCE_MS:
+            # Sent through the dispatcher's mailbox, so that the connection is closed before the next attempt is
+            # written to any server.
             self._loop.call_later(
                 (attempt.deadline_ms - attempt.started_ms) / 1000.0,
                 self.deliver,
@@ -426,7 +428,7 @@
         upstream.start(attempt)
 
     def _attempt_ended(self, pending: PendingRequest, attempt: Attempt, end: AttemptEnd) -> None:
-        """An attempt has ended; where it was served, so is the request."""
+        """Record an attempt's outcome; if it succeeded, answer the request."""
         if pending.attempt is attempt:
             pending.attempt = None
         if not end.verdict.never_ran:
@@ -460,7 +462,7 @@
     # Responses.
 
     def _response_started(self, pending: PendingRequest, attempt: Attempt, stream: ResponseStream) -> None:
-        """A long value has begun: this is the final response, whatever becomes of it."""
+        """Forward a streamed response, which is the final response even if it is aborted later."""
         if pending.respond is None or pending.attempt is not attempt:
             stream.cancel()
             attempt.abort(api.Verdict.CANCELLED, final=True)
@@ -474,7 +476,7 @@
         pending.respond(Streaming(stream))
 
     def _stream_finished(self, pending: PendingRequest, response: Response) -> None:
-        """The client has all of a long value, or what it will ever have of it."""
+        """Record that a streamed response has ended, delivered or aborted."""
         if pending.respond is not None:
             pending.respond = None
             self._open_ids.discard(pending.request.id)
@@ -483,7 +485,7 @@
                 self._remove(pending)
 
     def _respond(self, pending: PendingRequest, response: Response) -> None:
-        """Give an accepted request its final response, unless it has one or its client has left."""
+        """Give an accepted request its final response, unless it has one or its client has disconnected."""
         if pending.respond is None:
             return
         self._open_ids.discard(pending.request.id)
@@ -501,10 +503,10 @@
             and result is not RequestResult.COMPLETED
             and self._reserved_admission is not None
         ):
-            self._reserved_admission.unserved(pending.reserved_units, pending.unserved_cause)
+            self._reserved_admission.record_unserved(pending.reserved_units, pending.unserved_cause)
 
     def _release(self, pending: PendingRequest) -> None:
-        """Nothing more is done for a request; an attempt in flight is aborted, and its end still reported."""
+        """Release an answered request; an attempt in flight is aborted, and its outcome still reported."""
         if pending.deadline_timer is not None:
             pending.deadline_timer.cancel()
         if pending.attempt is None:
--- a/badgeryoke/gateway/graceful_shutdown.py
+++ b/badgeryoke/gateway/graceful_shutdown.py
@@ -1,8 +1,7 @@
-"""One graceful shutdown for PAUSE, SIGTERM and a hot restart: a state machine without I/O, its transitions as
-data.
+"""Graceful shutdown for PAUSE, SIGTERM and hot restart: a state machine without I/O, with a table of transitions.
 
-`badgeryoke.gateway.lifecycle` posts events and carries out the effects that come back, in their order.
-The states' texts are what the operators' STATUS call answers.
+`badgeryoke.gateway.lifecycle` posts events and executes the returned effects in order.  The operators' STATUS call
+returns the texts of the states.
 """
 
 from __future__ import annotations
@@ -11,20 +10,20 @@
 
 
 class ShutdownState(Enum):
-    """How far the gateway is from serving."""
+    """The states of a gateway from serving to its end."""
 
     SERVING = "serving"
-    REJECTING = "turning clients away"  # PAUSE: PING fails, and the load balancer is hearing of it
+    REJECTING = "turning clients away"  # PAUSE: PING fails, until the load balancer has had time to notice
     PAUSED = "drained"  # connections close between requests; new ones get one response each
-    TERMINATING = "leaving"  # SIGTERM: as REJECTING, with no way back
-    REPLACED = "yielding"  # a successor serves: PING passes for both, new connections are the successor's
-    DRAINING = "closing"  # SIGTERM, and the load balancer has heard: no connection is accepted
-    REPORTING = "settling"  # all is answered: the last units are reported
+    TERMINATING = "leaving"  # SIGTERM: as REJECTING, but cannot be resumed
+    REPLACED = "yielding"  # a successor serves and accepts connections; PING passes in both processes
+    DRAINING = "closing"  # SIGTERM, and the load balancer has had time to notice: no connection is accepted
+    REPORTING = "settling"  # all requests are answered: the last units are being reported
     ENDED = "ended"
 
 
 class ShutdownEvent(Enum):
-    """What happens to it; the texts are logged."""
+    """The events of the state machine; their texts are logged."""
 
     PAUSE = "pause"
     RESUME = "resume"
@@ -37,13 +36,13 @@
 
 
 class ShutdownEffect(Enum):
-    """What the gateway does about it."""
+    """The effects that the lifecycle executes after a transition."""
 
     FAIL_PING = "PING fails"
     PASS_PING = "PING passes"
     START_NOTICE_TIMER = "post NOTICE_ELAPSED when the load balancer has had time to notice"
-    CLOSE_CONNECTIONS = "close each connection between requests, those to come as well"
-    KEEP_CONNECTIONS = "connections to come are kept open"
+    CLOSE_CONNECTIONS = "close each connection between requests, new ones as well"
+    KEEP_CONNECTIONS = "keep new connections open"
     STOP_ACCEPTING = "accept no connection"
     AWAIT_REQUESTS = "post ALL_ANSWERED when no connection is open, TIME_EXPIRED when no time is left"
     REPORT_USAGE = "report what is unreported, then post USAGE_REPORTED"
@@ -51,7 +50,7 @@
 
 
 S, E, F = ShutdownState, ShutdownEvent, ShutdownEffect
-# What is not listed changes nothing: a repeated PAUSE, a RESUME of what was not drained, a late timer.
+# Pairs that are not listed change nothing: a repeated PAUSE, a RESUME without a PAUSE, a late timer.
 TRANSITIONS: dict[tuple[ShutdownState, ShutdownEvent], tuple[ShutdownState, tuple[ShutdownEffect, ...]]] = {
     (S.SERVING, E.PAUSE): (S.REJECTING, (F.FAIL_PING, F.START_NOTICE_TIMER)),
     (S.REJECTING, E.NOTICE_ELAPSED): (S.PAUSED, (F.CLOSE_CONNECTIONS,)),
@@ -81,19 +80,19 @@
 
 
 class GracefulShutdown:
-    """The state, and the one way to change it."""
+    """The current state, changed by events only."""
 
     def __init__(self) -> None:
         self.state = ShutdownState.SERVING
-        self.generation = 0  # counts changes of state: a timer of an earlier generation does nothing
+        self.generation = 0  # counts state changes: a timer of an earlier generation is ignored
 
     @property
     def ending(self) -> bool:
-        """Whether there is no way back."""
+        """Whether the gateway ends and cannot be resumed."""
         return self.state in ENDING_STATES
 
     def post(self, event: ShutdownEvent, generation: int | None = None) -> tuple[ShutdownEffect, ...]:
-        """Take in an event; gives the effects, none where it changes nothing or its generation has passed."""
+        """Apply an event; returns the effects, none if it changes nothing or is of an earlier generation."""
         if generation is not None and generation != self.generation:
             return ()
         transition = TRANSITIONS.get((self.state, event))
--- a/badgeryoke/gateway/lifecycle.py
+++ b/badgeryoke/gateway/lifecycle.py
@@ -1,7 +1,7 @@
-"""The life of one gateway: its start, its graceful shutdown, and its place in a hot restart.
+"""The lifecycle of one gateway: start, graceful shutdown and hot restart.
 
 The shutdown's states and transitions are in `badgeryoke.gateway.graceful_shutdown`; this module posts the events
-and carries out the effects.
+and executes the effects.
 """
 
 from __future__ import annotations
@@ -38,42 +38,42 @@
 UPSTREAM_SWEEP_INTERVAL_S = 1.0
 CLIENT_SWEEP_INTERVAL_S = 0.1
 LAG_SAMPLE_INTERVAL_S = 0.01
-POLL_INTERVAL_S = 0.02  # of what the shutdown waits for
-FAST_POLL_INTERVAL_S = 0.01  # of what a start or the cluster's end waits for
+POLL_INTERVAL_S = 0.02  # between checks of a condition that the shutdown waits for
+FAST_POLL_INTERVAL_S = 0.01  # the same at start and while leaving the cluster
 DIAMETER_BACKLOG = 128
 ADMIN_BACKLOG = 64
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, counted as 3 s where it is longer, and
-# 0.7 s more; what was accepted after SIGTERM has its whole deadline still.
+# SIGKILL follows SIGTERM no sooner than after the longest deadline, counted as at most 3 s, plus 0.7 s.  Requests that
+# were accepted after SIGTERM still have their full deadline.
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.55
-LAST_RESPONSES_S = 0.05  # for the last responses to go out
-# While the process that is replaced lives, the new one keeps to this part of the bound on client connections.
+LAST_RESPONSES_WAIT_S = 0.05  # time to send the last responses
+# Of the bound on client connections, used by the new process while its predecessor still runs.
 OVERLAP_CLIENTS_FRACTION = 0.5
-LEASE_RETURN_S = 0.5  # for connections that are not in use any more, before the cluster's part ends
-DISCOVERY_WAIT_S = 1.0  # for discovery's first answer, before a predecessor's state is asked for
+LEASE_RETURN_TIMEOUT_S = 0.5  # for leases of unused connections, before the gateway leaves the cluster
+DISCOVERY_WAIT_S = 1.0  # for discovery's first answer, before a predecessor's state is requested
 
 
 class Lifecycle:
-    """Starts a gateway's parts, and ends them in order.  Driven by signals, operators, and other processes."""
+    """Starts a gateway's parts and stops them in order, as signals, operators and other processes request."""
 
     def __init__(self, parts: GatewayParts) -> None:
         self._parts = parts
         self.shutdown = GracefulShutdown()
-        self._terminated_at_s = math.inf  # the loop's time at the first SIGTERM
+        self._terminated_at_s = math.inf  # the loop's time of the first SIGTERM
         self._admin_server: AdminServer | None = None
         self.snapshot_sender: SnapshotSender | None = None
         self.listening = False  # for clients
-        self.done = asyncio.Event()  # everything accepted has its response, and the process may end
-        self._tasks: set[asyncio.Task[None]] = set()  # referenced here, or they could be collected
-        # The bound addresses, where port 0 was asked for; set at the start.
-        self.address: Any  # as getsockname() gives them: a family's own form
+        self.done = asyncio.Event()  # all accepted requests are answered, and the process may end
+        self._tasks: set[asyncio.Task[None]] = set()  # a task without a reference could be garbage-collected
+        # The addresses that were bound (for a configured port 0 the actual port); set at start.
+        self.address: Any  # as getsockname() returns it: the form depends on the address family
         self.admin_address: Any
         self.diameter_address: Any
 
     # Start.
 
     def start(self, operations: AdminOperations, drainable: DrainableGateway) -> None:
-        """Listen, connect and watch."""
+        """Start to listen, to connect, and to watch discovery."""
         parts = self._parts
         if parts.config.operators.fleet is not None:
             self._start_cluster(drainable)
@@ -97,20 +97,20 @@
         return task
 
     async def cancel_tasks(self) -> None:
-        """End what still runs beside the event loop's callbacks; the last step of the process."""
+        """Cancel the remaining tasks; the last step of the process."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def _start_cluster(self, drainable: DrainableGateway) -> None:
-        # Loaded only where the cluster is on: it costs memory.
+        # Loaded only if the cluster is on, to save memory.
         from badgeryoke.gateway.cluster.connection_leases import ConnectionLeases
         from badgeryoke.gateway.cluster.service import ClusterService
 
         parts, settings = self._parts, self._parts.config.operators.fleet
         assert settings is not None
         parts.cluster = cluster = ClusterService(settings, parts.config.name)
-        # A connection is used as long as the longest request on it, and then rests.
+        # A connection may be in use for the longest deadline, and only then starts to be idle.
         idle_ms = parts.config.idle_ms + parts.longest_deadline_ms
         leases = ConnectionLeases(settings, parts.loop, cluster.clock.monotonic_ms, idle_ms, drainable)
         parts.connection_leases = cluster.connection_leases = parts.upstreams.connection_leases = leases
@@ -118,7 +118,7 @@
         cluster.start()
 
     def _start_admin_server(self, operations: AdminOperations, address: Address) -> None:
-        from badgeryoke.gateway.admin.server import AdminServer  # loaded only where it is configured
+        from badgeryoke.gateway.admin.server import AdminServer  # loaded only if it is configured
 
         self._admin_server = AdminServer(operations)
         host, port = address
@@ -140,13 +140,13 @@
         log.info("Diameter listens on %s:%d", *address)
 
     def _listen(self) -> None:
-        """Accept clients."""
+        """Start to accept clients."""
         config = self._parts.config
         host, port = config.listen
         if config.socket_fd is None:
             sockets = bind_sockets(port, host, backlog=BACKLOG)
         else:
-            sockets = [socket.socket(fileno=os.dup(config.socket_fd))]  # our own to close
+            sockets = [socket.socket(fileno=os.dup(config.socket_fd))]  # a duplicate that may be closed
             sockets[0].setblocking(False)
         self.address = sockets[0].getsockname()
         self._parts.resp_listener.add_sockets(sockets)
@@ -164,7 +164,7 @@
         self._parts.loop.call_later(CLIENT_SWEEP_INTERVAL_S, self._sweep_clients)
 
     def _sample_lag(self, due_s: float) -> None:
-        """Tell the dispatcher how late the event loop runs this timer."""
+        """Report to the dispatcher how late the event loop runs this timer."""
         loop = self._parts.loop
         now_s = loop.time()
         self._parts.dispatcher.record_loop_lag((now_s - due_s) * 1000.0)
@@ -173,14 +173,14 @@
     # Hot restart.
 
     async def _succeed_predecessor(self, folder: str) -> None:
-        """Take over the state of the process that serves, if one does, then serve in its place."""
-        from badgeryoke.gateway.hot_restart import transfer  # loaded only where a process is replaced
+        """Take over the state of a predecessor, if one is serving, then serve in its place."""
+        from badgeryoke.gateway.hot_restart import transfer  # loaded only for a hot restart
 
         parts = self._parts
         path = transfer.socket_path(folder, parts.config.name)
         receiver = transfer.SnapshotReceiver(path)
-        until_s = parts.loop.time() + DISCOVERY_WAIT_S  # a snapshot knows servers by discovery's names
-        while not parts.discovery.notified and parts.loop.time() < until_s:
+        deadline_s = parts.loop.time() + DISCOVERY_WAIT_S  # a snapshot names servers as discovery does
+        while not parts.discovery.notified and parts.loop.time() < deadline_s:
             await asyncio.sleep(FAST_POLL_INTERVAL_S)
         await self._restore_from(receiver)
         if self.shutdown.ending:
@@ -197,7 +197,7 @@
         parts.dispatcher.restore_snapshot(snapshot, parts.discovery.numbers)
         parts.resp_listener.share(OVERLAP_CLIENTS_FRACTION)
         if parts.connection_leases is not None:
-            parts.connection_leases.only_process = False  # the predecessor answers what it has accepted
+            parts.connection_leases.only_process = False  # the predecessor is still answering
         log.info("state restored: %d customers, %d servers", len(snapshot.customers), len(snapshot.servers))
 
     def take_snapshot(self) -> StateSnapshot | str:
@@ -208,16 +208,16 @@
         return self._parts.dispatcher.take_snapshot(names)
 
     def successor_ready(self, snapshot: StateSnapshot) -> None:
-        """The successor serves by this snapshot (hot_restart.transfer.Predecessor)."""
+        """Hand over to a successor that serves from this snapshot (hot_restart.transfer.Predecessor)."""
         self._parts.dispatcher.mark_transferred(snapshot)
         self.post(ShutdownEvent.SUCCESSOR_READY)
-        if self._parts.cluster is not None:  # the successor waits for the folder
+        if self._parts.cluster is not None:  # the successor waits for the cluster's folder
             self._run_task(self._leave_cluster(self._parts.cluster))
 
     # Graceful shutdown.
 
     def terminate(self) -> None:
-        """SIGTERM: go on accepting connections for a while, answer everything, then end."""
+        """SIGTERM: accept connections until the load balancer has noticed, answer all requests, then exit."""
         parts = self._parts
         if not self.shutdown.ending:
             log.info("ending: %d unanswered", parts.dispatcher.unanswered)
@@ -229,7 +229,7 @@
         self.post(ShutdownEvent.TERMINATE)
 
     def post(self, event: ShutdownEvent, generation: int | None = None) -> None:
-        """Post an event to the shutdown's state machine, and carry out the effects."""
+        """Post an event to the shutdown's state machine, and execute the effects."""
         before = self.shutdown.state
         effects = self.shutdown.post(event, generation)
         if self.shutdown.state is not before:
@@ -282,22 +282,24 @@
 
     def _await_requests(self) -> None:
         loop = self._parts.loop
-        counted_s = min(self._parts.longest_deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
-        remaining_s = max(self._terminated_at_s + counted_s - loop.time(), 0.0)
+        allowed_s = min(self._parts.longest_deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
+        remaining_s = max(self._terminated_at_s + allowed_s - loop.time(), 0.0)
         loop.call_later(remaining_s, self._parts.resp_listener.refuse_rest)
         loop.call_later(remaining_s, self._answer_all_now)
         self._poll_connections()
 
     def _answer_all_now(self) -> None:
-        """SIGKILL is near.  A deadline beyond MAX_COUNTED_DEADLINE_S may still run, and a request that ends here
-        without a response is lost: each gets its final one now."""
+        """Give all pending requests their final response shortly before SIGKILL.
+
+        A deadline beyond MAX_COUNTED_DEADLINE_S may not have expired, and its request would be lost.
+        """
         if not self.done.is_set():
             log.warning(
                 "no time is left: %d unanswered requests are rejected or failed",
                 self._parts.dispatcher.unanswered,
             )
             self._parts.dispatcher.answer_all_now()
-            self._parts.loop.call_later(LAST_RESPONSES_S, self.post, ShutdownEvent.TIME_EXPIRED)
+            self._parts.loop.call_later(LAST_RESPONSES_WAIT_S, self.post, ShutdownEvent.TIME_EXPIRED)
 
     def _poll_connections(self) -> None:
         diameter = self._parts.diameter_listener
@@ -310,15 +312,15 @@
         log.info("ended: all answered")
         self._parts.discovery.stop()
         self._parts.dispatcher.flush_timers()
-        until_s = self._parts.loop.time() + self._parts.config.settings.counter_timeout_ms / 1000.0
-        self._parts.loop.call_later(POLL_INTERVAL_S, self._poll_reports, until_s)
+        deadline_s = self._parts.loop.time() + self._parts.config.settings.counter_timeout_ms / 1000.0
+        self._parts.loop.call_later(POLL_INTERVAL_S, self._poll_reports, deadline_s)
 
-    def _poll_reports(self, until_s: float) -> None:
-        """The last reports have the time that any call has: closed at once, they would be cut off."""
+    def _poll_reports(self, deadline_s: float) -> None:
+        """Wait for the last reports, at most for a call's timeout: closing at once would cut them off."""
         loop, counter = self._parts.loop, self._parts.counter
         if counter is not None:
-            if counter.has_pending_calls and loop.time() < until_s:
-                loop.call_later(POLL_INTERVAL_S, self._poll_reports, until_s)
+            if counter.has_pending_calls and loop.time() < deadline_s:
+                loop.call_later(POLL_INTERVAL_S, self._poll_reports, deadline_s)
                 return
             counter.close()
         loop.call_later(POLL_INTERVAL_S, self.post, ShutdownEvent.USAGE_REPORTED)
@@ -335,12 +337,12 @@
             self.done.set()
 
     async def _leave_cluster(self, cluster: ClusterService) -> None:
-        """Hand over what this gateway leads in the cluster, in a time that is bounded."""
+        """Return the connection leases, then leave the cluster, which hands over leadership; in bounded time."""
         leases, loop = self._parts.connection_leases, self._parts.loop
         if leases is not None:
             leases.drain()
-            until_s = loop.time() + LEASE_RETURN_S
-            while not leases.is_empty and loop.time() < until_s:
+            deadline_s = loop.time() + LEASE_RETURN_TIMEOUT_S
+            while not leases.is_empty and loop.time() < deadline_s:
                 await asyncio.sleep(FAST_POLL_INTERVAL_S)
         await cluster.leave()
         cluster.close()
--- a/badgeryoke/gateway/metrics.py
+++ b/badgeryoke/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Plain counts of what the gateway has done since its start; rendered elsewhere, and only when asked."""
+"""The gateway's counters since its start; `badgeryoke.gateway.admin.rendering` renders them on request."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class Metrics:
-    """The counts.  The dispatcher keeps them, each where the event happens."""
+    """The counters, incremented where the events happen."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.finished: dict[str, list[int]] = {}  # by class: counts, indexed by RequestResult
         self.attempts_sent = 0  # written completely to a server
-        self.reloads = self.reload_errors = 0  # configurations that were applied, and rejected
+        self.reloads = self.reload_errors = 0  # configurations applied, and rejected
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Classes of new settings; one that is dropped keeps its counts for as long as the process lives."""
+        """Add the classes of new settings; a class that is dropped keeps its counts until the process ends."""
         for name in classes:
             self.finished.setdefault(name, [0] * len(RequestResult))
 
     def attempt_sent(self) -> None:
-        """An attempt's last byte has been written."""
+        """Count an attempt whose last byte has been written."""
         self.attempts_sent += 1
--- a/badgeryoke/gateway/parts.py
+++ b/badgeryoke/gateway/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one gateway, put together from its configuration."""
+"""Builds the parts of one gateway from its configuration."""
 
 from __future__ import annotations
 
@@ -25,33 +25,33 @@
     from badgeryoke.gateway.cluster.connection_leases import ConnectionLeases
     from badgeryoke.gateway.cluster.service import ClusterService
 
-# Of the process's descriptors, for the connections of each kind of client.
+# Of the process's file descriptors, for the connections of each kind of client.
 RESP_CLIENTS_FRACTION = 0.5
 DIAMETER_CLIENTS_FRACTION = 0.1
-CROWDED_CLIENTS_FRACTION = 0.2  # from which on idle RESP clients are closed sooner (resp/listener.py)
-# Of the memory that is left beside the program itself.
+CROWDED_CLIENTS_FRACTION = 0.2  # above it idle RESP clients are closed sooner (resp/listener.py)
+# Buffers get the memory beyond that of the program itself; the fractions are of this rest.
 PROGRAM_MB = 24.0
 MIN_BUFFER_MB = 4.0
 BODIES_FRACTION = 0.25  # for bodies of pending requests
-PARTIAL_COMMANDS_FRACTION = 0.15  # for commands that have not come completely
-STREAMS_FRACTION = 0.2  # for long values on their way; as much again lies in the connections' own buffers
+PARTIAL_COMMANDS_FRACTION = 0.15  # for incomplete commands
+STREAMS_FRACTION = 0.2  # for response streams; the connections' own buffers take as much again
 BYTES_PER_MB = 1024 * 1024
 
 
 class AbsentCounter:
-    """Stands where the settings give no counter: each call fails."""
+    """Replaces the counter if none is configured: each call fails."""
 
     def __init__(self, loop: ActorScheduler) -> None:
         self._loop = loop
 
     def add(self, name: int, units: float, life_ms: float, done: Callable[[CounterReply], None]) -> None:
-        """Fail one call, later."""
+        """Fail one call, asynchronously."""
         self._loop.call_soon(done, CounterReply(name, Verdict.CONNECT_FAILED, 0.0))
 
 
 @dataclass
 class GatewayParts:
-    """What the gateway's life cycle and reload work on.  Only `config` is replaced during a life."""
+    """The parts that lifecycle and reload operate on.  Only `config` is replaced while the process runs."""
 
     config: Config
     loop: ActorScheduler
@@ -63,18 +63,18 @@
     discovery: DiscoveryClient
     resp_listener: RespListener
     diameter_listener: DiameterListener | None
-    # These two are set at the start, where the cluster is on.
+    # These two are set at start if the cluster is on.
     cluster: ClusterService | None = None
     connection_leases: ConnectionLeases | None = None
 
     @property
     def longest_deadline_ms(self) -> float:
-        """Of all classes in force; 0 where there is none."""
+        """The longest deadline of the classes in force; 0 if there are none."""
         return max((request_class.deadline_ms for request_class in self.config.settings.classes), default=0.0)
 
 
 def build_parts(config: Config, loop: ActorScheduler, clock: Callable[[], float]) -> GatewayParts:
-    """Put a gateway's parts together; nothing listens or connects yet."""
+    """Build a gateway's parts; nothing listens or connects yet."""
     buffer_bytes = int(max(config.memory_mb - PROGRAM_MB, MIN_BUFFER_MB) * BYTES_PER_MB)
     counter = None
     if config.counter is not None:
--- a/badgeryoke/gateway/pending_request.py
+++ b/badgeryoke/gateway/pending_request.py
@@ -1,4 +1,4 @@
-"""What the dispatcher knows of one request from its acceptance to the end of its last attempt."""
+"""The dispatcher's state of one request, from its acceptance to the end of its last attempt."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class UnservedCause(StrEnum):
-    """Why units that were drawn under a lease were not served; the decision module may name another cause."""
+    """Why units drawn under a lease were not served; the decision module may give another cause."""
 
     GATEWAY = "gateway"
     LOAD = "load"
@@ -58,21 +58,21 @@
         request_class: api.RequestClass,
     ) -> None:
         self.id, self.request, self.deadline_ms = request_id, request, deadline_ms
-        # As it was when the request was validated; the decision module gets it under no other.
+        # The class at validation; the request is rejected if its class changes before the decision.
         self.request_class = request_class
         with_key = request_class.idempotency is api.Idempotency.WITH_KEY
-        # How long after an attempt that may have run another may reach a server.
+        # How long after an attempt that may have run a further one may reach a server.
         self.deduplication_window_ms = request_class.deduplication_window_ms if with_key else math.inf
-        # A client's own repeat does no harm even if the request may have run.
+        # Whether the client may safely repeat the request even if it may have run.
         self.repeat_is_harmless = request_class.idempotency is api.Idempotency.IDEMPOTENT or (
             with_key and request_class.deduplication_scope is api.DeduplicationScope.ALL
         )
         self.first_possible_run_ms = math.inf  # when the first attempt that may have run was started
-        self.respond: Callable[[Response], None] | None = respond  # None: the final response is given
+        self.respond: Callable[[Response], None] | None = respond  # None: the final response has been given
         self.may_have_run = False
         self.attempt_count = 0
         self.attempt: Attempt | None = None  # in flight
         self.deadline_timer: asyncio.TimerHandle | None = None
-        self.response_stream: ResponseStream | None = None  # the final response has begun
+        self.response_stream: ResponseStream | None = None  # set once the final response has begun
         self.first_byte_ms = 0.0  # from the attempt's start to the stream's first bytes
         self.reserved_units: ReservedUnits | None = None  # drawn under a lease
--- a/badgeryoke/gateway/reload.py
+++ b/badgeryoke/gateway/reload.py
@@ -13,7 +13,7 @@
 
 log = logging.getLogger(__name__)
 
-# What belongs to the process, and waits for the next start.
+# Fields that a reload does not change: they are applied at the next start.
 PROCESS_FIELDS = (
     "name",
     "listen",
@@ -28,31 +28,31 @@
     "diameter",
     "operators",
 )
-UNREPORTED_FIELDS = frozenset({"seed", "known"})  # differ from file to file, which concerns nobody
+UNREPORTED_FIELDS = frozenset({"seed", "known"})  # expected to differ from file to file
 
 
-def reload_config(parts: GatewayParts, reread: Callable[[], Config]) -> None:
+def reload_config(parts: GatewayParts, read_new_config: Callable[[], Config]) -> None:
     """Read the configuration again, and apply it or reject it as a whole.
 
-    Requests in flight keep the class they began with.  A rejected configuration is logged with its faulty key
-    and counted; the one in force stays.
+    Requests in flight keep the class that they began with.  A rejected configuration is counted and logged with its
+    faulty key; the one in force stays.
     """
     try:
-        config = _read_valid(parts, reread)
+        config = _read_valid(parts, read_new_config)
     except ConfigError as fault:
         parts.dispatcher.metrics.reload_errors += 1
         log.error("reload: configuration: %s; the old one stays", fault)
         return
     old = parts.config
-    kept = {field: getattr(old, field) for field in PROCESS_FIELDS}
-    parts.config = replace(config, counter=config.counter or old.counter, **kept)
+    unchanged = {field: getattr(old, field) for field in PROCESS_FIELDS}
+    parts.config = replace(config, counter=config.counter or old.counter, **unchanged)
     _apply(parts)
     parts.dispatcher.metrics.reloads += 1
     _log_changes(old, config, parts.config)
 
 
-def _read_valid(parts: GatewayParts, reread: Callable[[], Config]) -> Config:
-    config = reread()
+def _read_valid(parts: GatewayParts, read_new_config: Callable[[], Config]) -> Config:
+    config = read_new_config()
     if missing := first_missing_key(parts.config.file_shape, config.file_shape):
         raise ConfigError(f"{missing}: missing, and the file in force has it")
     if config.settings.has_counter and parts.counter is None:
@@ -73,10 +73,10 @@
     parts.dispatcher.update_settings(settings)
 
 
-def _log_changes(old: Config, read: Config, applied: Config) -> None:
-    """Say what is in force now, and which fields of the file are not."""
+def _log_changes(old: Config, loaded: Config, applied: Config) -> None:
+    """Log what is in force now, and which fields of the file are not."""
     for field in PROCESS_FIELDS:
-        if field not in UNREPORTED_FIELDS and getattr(read, field) != getattr(old, field):
+        if field not in UNREPORTED_FIELDS and getattr(loaded, field) != getattr(old, field):
             log.warning("reload: %s differs: applied at the next start only", field)
     log.info("reload: discovery at %s:%d", *applied.discovery)
     if applied.counter is not None:
--- a/badgeryoke/gateway/reserved_admission.py
+++ b/badgeryoke/gateway/reserved_admission.py
@@ -1,9 +1,9 @@
 """Admission of requests whose customer has a reservation: their units are drawn from this gateway's lease before
 the decision module sees them.
 
-Loaded only where the cluster is on.  A request that finds no units in the lease's bucket waits for them if its
-deadline leaves the time, and becomes an ordinary request if none come; what was drawn and not served is counted
-as a shortfall, with its cause.
+Loaded only if the cluster is on.  A request that finds no units in the lease's bucket waits for them if its deadline
+allows, and becomes an ordinary request if it gets none.  Units that were drawn and not served are counted as a
+shortfall, with their cause.
 """
 
 from __future__ import annotations
@@ -21,59 +21,59 @@
 log = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.004  # between two polls of the waiting requests, while there are any
-# What a request must have left of its time to wait: the longest wait, and as much to be served in.
+# The remaining time that a request must have to wait: the longest wait, and as much again to be served.
 MIN_REMAINING_MS = 2.0 * MAX_WAIT_MS
-FAULT_LOG_INTERVAL = 1000  # the first fault is logged, and each so many-th
+FAULT_LOG_INTERVAL = 1000  # the first fault is logged, then one in this many
 
 
 class ReservedRequest(Protocol):
-    """A pending request, as reserved admission sees it."""
+    """The fields of a pending request that reserved admission uses."""
 
     request: Request
     reserved_units: ReservedUnits | None
-    unserved_cause: str  # why it was not served, if it is not; set from when `reserved_units` is
+    unserved_cause: str  # why it was not served, if it was not; set together with `reserved_units`
 
 
 class ReservationLeases(Protocol):
     """This gateway's leases (`badgeryoke.cluster.reservations.lease_client.ReservationClient`).
 
-    Times are ms of the cluster's clock.  A token is the waiting request: the leases give it back and never look
-    into it.
+    Times are ms of the cluster's clock.  A token is the waiting request, which the leases return unchanged.
     """
 
     @property
     def leases(self) -> Mapping[str, object]:
-        """The leases by contract; empty: no call is worth its time."""
+        """The leases by contract; if there are none, the other calls can be skipped."""
 
     def take(self, now: float, customer: int, units: float) -> ReservedUnits | None:
-        """Draw units; None where there is no contract, or too few units now."""
+        """Draw units; None if there is no contract, or too few units at present."""
 
     def wait(self, now: float, customer: int, units: float, token: Any) -> bool:
-        """Queue for units; False where a wait has no prospect."""
+        """Queue for units; False if waiting is useless."""
 
     def finished_waits(self, now: float) -> list[tuple[Any, ReservedUnits | None]]:
-        """Take out who has waited long enough, with the units drawn or None."""
+        """Remove and return the requests whose wait has ended, each with the units drawn or None."""
 
     def failed(self, now: float, reserved: ReservedUnits, cause: str) -> None:
         """Count units that were drawn and not served."""
 
 
 class ReservedAdmission:
-    """Between the dispatcher and the leases.  `on_wait_ended` is called with a request that has waited."""
+    """Draws units from the leases for the dispatcher.  `on_wait_ended` is called with each request whose wait has
+    ended."""
 
     def __init__(
         self,
         leases: ReservationLeases,
         now: Callable[[], float],
         loop: ActorScheduler,
-        on_wait_ended: Callable[[Any], None],  # Any: given a token, see ReservationLeases
+        on_wait_ended: Callable[[Any], None],  # Any: called with a token, see ReservationLeases
     ) -> None:
         self._leases, self._now, self._loop, self._on_wait_ended = leases, now, loop, on_wait_ended
         self._waiting = 0
         self.faults = 0  # exceptions of the leases
 
     def reserve(self, pending: ReservedRequest) -> bool:
-        """Draw a request's units; False where there is no contract, or too few units now."""
+        """Draw a request's units; False if there is no contract, or too few units at present."""
         if not self._leases.leases:
             return False
         pending.unserved_cause = UnservedCause.LATE
@@ -85,7 +85,7 @@
         return pending.reserved_units is not None
 
     def enqueue(self, pending: ReservedRequest, remaining_ms: float) -> bool:
-        """Whether a request that found no units waits for them; `on_wait_ended` is called when it has."""
+        """Let a request that found no units wait for them; False if it does not wait."""
         if remaining_ms < MIN_REMAINING_MS or not self._leases.leases:
             return False
         try:
@@ -104,7 +104,7 @@
         ended: list[tuple[Any, ReservedUnits | None]] = []
         try:
             ended = self._leases.finished_waits(self._now())
-        except Exception:  # who waits is answered at its deadline, by the dispatcher
+        except Exception:  # the dispatcher answers waiting requests at their deadline
             self._record_fault()
         for pending, reserved_units in ended:
             pending.reserved_units = reserved_units
@@ -114,10 +114,10 @@
             self._loop.call_later(POLL_INTERVAL_S, self._poll_queue)
         self._loop.run()
 
-    def unserved(self, reserved_units: ReservedUnits, cause: str) -> None:
-        """Units were drawn for a request that has its final response, and no server served it."""
+    def record_unserved(self, reserved_units: ReservedUnits, cause: str) -> None:
+        """Report units that were drawn for a request whose final response is not a success."""
         try:
-            # Plain text: the cause becomes a key in the cluster's records.
+            # A plain str, not an enum: the cause becomes a key in the cluster's records.
             self._leases.failed(self._now(), reserved_units, str(cause))
         except Exception:  # a missing count must not cost the request its response
             self._record_fault()
--- a/badgeryoke/gateway/responses.py
+++ b/badgeryoke/gateway/responses.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """The value as a server gave it, and the units it was charged, 0 where the server did not say."""
+    """The value that a server returned and the units that it charged, 0 if it did not report them."""
 
     value: bytes
     true_units: float = 0.0
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """Not served, and a retry by the client does no harm: after `retry_after_ms`, with the same key."""
+    """Not served; the client can safely retry after `retry_after_ms`, with the same key."""
 
     retry_after_ms: float
     may_have_run: bool = False
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not served, and nothing is known about its effect; `detail` is sent to the client."""
+    """Not served, with unknown effect; `detail` is sent to the client."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Streaming:
-    """A long value has begun: the rest comes through the stream, or is aborted there."""
+    """A streamed value has begun; the rest follows through the stream, which may be aborted."""
 
     stream: ResponseStream
 
--- a/badgeryoke/gateway/struct_validation.py
+++ b/badgeryoke/gateway/struct_validation.py
@@ -1,6 +1,6 @@
 """Validates parsed TOML against msgspec structs and reports all faults at once, each with its key.
 
-msgspec itself stops at the first fault, and does not suggest the key that was probably meant.
+msgspec itself stops at the first fault and does not suggest the key that was probably meant.
 """
 
 from __future__ import annotations
@@ -13,18 +13,20 @@
 
 
 def unknown_keys(raw: Mapping[str, object], struct: type[msgspec.Struct], path: str) -> list[str]:
-    """A fault for every key that the struct does not have, with the nearest that it has."""
+    """A fault for every key that the struct does not have, with the closest key that it has."""
     fields = {field.encode_name: field.type for field in msgspec.structs.fields(struct)}
     faults = []
     for key, value in raw.items():
         if key not in fields:
-            close = difflib.get_close_matches(key, list(fields), 1)
-            hint = f"did you mean {path}{close[0]}?" if close else f"known are {', '.join(sorted(fields))}"
+            nearest = difflib.get_close_matches(key, list(fields), 1)
+            hint = (
+                f"did you mean {path}{nearest[0]}?" if nearest else f"known are {', '.join(sorted(fields))}"
+            )
             faults.append(f"{path}{key}: unknown; {hint}")
             continue
-        inner = fields[key]
-        if isinstance(value, dict) and _is_struct(inner):
-            faults += unknown_keys(value, inner, f"{path}{key}.")
+        field_type = fields[key]
+        if isinstance(value, dict) and _is_struct(field_type):
+            faults += unknown_keys(value, field_type, f"{path}{key}.")
     return faults
 
 
@@ -34,12 +36,12 @@
     for field in msgspec.structs.fields(struct):
         if field.encode_name not in raw:
             continue
-        value, inner = raw[field.encode_name], field.type
-        if isinstance(value, dict) and _is_struct(inner):
-            faults += malformed_values(value, inner, f"{path}{field.encode_name}.")
+        value, field_type = raw[field.encode_name], field.type
+        if isinstance(value, dict) and _is_struct(field_type):
+            faults += malformed_values(value, field_type, f"{path}{field.encode_name}.")
             continue
         try:
-            msgspec.convert(value, inner)
+            msgspec.convert(value, field_type)
         except msgspec.ValidationError as error:
             problem = str(error).replace("`", "").split(" - at ")[0]
             faults.append(f"{path}{field.encode_name}: {problem}, got {value!r}")
--- a/badgeryoke/gateway/upstream_directory.py
+++ b/badgeryoke/gateway/upstream_directory.py
@@ -1,4 +1,4 @@
-"""The upstreams of the servers on discovery's endpoint list: opened, drained and found by server number."""
+"""Opens, drains and finds the upstreams of the servers on discovery's endpoint list."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     from badgeryoke.gateway.cluster.connection_leases import ConnectionLeases
     from badgeryoke.gateway.cluster.upstream_lease import UpstreamLease
 
-UPSTREAM_DESCRIPTORS_FRACTION = 0.3  # of the process's descriptors, shared out over the listed servers
+UPSTREAM_DESCRIPTORS_FRACTION = 0.3  # of the process's file descriptors, divided among the listed servers
 MIN_CONNECTIONS_PER_SERVER = 4
 
 UpstreamConnection = RespUpstream | DiameterUpstream
 
 
 class ListedUpstream(NamedTuple):
-    """A listed server, and what the gateway holds towards it."""
+    """A listed server and its upstream."""
 
     endpoint: Endpoint
     upstream: UpstreamConnection
@@ -34,7 +34,7 @@
 class UpstreamDirectory:
     """All upstreams of a gateway.
 
-    identity: of this gateway as a Diameter peer; None where no Diameter server can be listed.
+    identity: of this gateway as a Diameter peer; None if Diameter is not configured.
     """
 
     def __init__(
@@ -50,16 +50,16 @@
         self._diameter_services: dict[str, int] = {}
         if config.diameter is not None:
             self._diameter_services = {plan: number for number, plan in config.diameter.plans.items()}
-        self.connection_leases: ConnectionLeases | None = None  # set at the start, where the cluster is on
-        self.by_number: dict[int, ListedUpstream] = {}
+        self.connection_leases: ConnectionLeases | None = None  # set at start if the cluster is on
+        self.by_number: dict[int, ListedUpstream] = {}  # by server number
 
     def find(self, server: int) -> UpstreamConnection | None:
-        """The upstream of a server; None for one that is not listed any more."""
-        found = self.by_number.get(server)
-        return None if found is None else found[1]
+        """The upstream of a server; None if the server is no longer listed."""
+        listed = self.by_number.get(server)
+        return None if listed is None else listed[1]
 
     def update_settings(self, config: Config) -> None:
-        """Go by a reloaded configuration; connections that are open stay."""
+        """Apply a reloaded configuration; open connections stay."""
         self._config = config
         for _, upstream in self.by_number.values():
             if isinstance(upstream, RespUpstream):
@@ -68,7 +68,7 @@
                 )
 
     def update_endpoints(self, endpoints: dict[int, Endpoint]) -> None:
-        """Bring the upstreams in line with a new endpoint list, by server number."""
+        """Open and drain upstreams according to a new endpoint list, by server number."""
         descriptors = int(self._config.sockets * UPSTREAM_DESCRIPTORS_FRACTION)
         max_connections = max(descriptors // max(len(endpoints), 1), MIN_CONNECTIONS_PER_SERVER)
         self._close_unlisted(endpoints)
@@ -85,7 +85,7 @@
                 upstream.drain()
 
     def _close_unlisted(self, endpoints: dict[int, Endpoint]) -> None:
-        """Drain for good what is not listed any more, or under another address or wire protocol."""
+        """Drain and remove the upstreams that are no longer listed, or with another address or wire protocol."""
         for number, (old, upstream) in list(self.by_number.items()):
             new = endpoints.get(number)
             if new is None or (new.address, new.kind) != (old.address, old.kind):
@@ -109,7 +109,7 @@
     def _open_diameter(
         self, endpoint: Endpoint, watchdog_s: float, lease: UpstreamLease | None
     ) -> DiameterUpstream:
-        assert self._identity is not None, "a Diameter server, and no Diameter configuration"
+        assert self._identity is not None, "Diameter server without a Diameter configuration"
         return DiameterUpstream(
             endpoint.address,
             self._loop,
@@ -139,6 +139,6 @@
         )
 
     def sweep(self) -> None:
-        """Let each upstream close what has been idle for too long."""
+        """Close the connections that have been idle for too long."""
         for _, upstream in self.by_number.values():
             upstream.sweep()
--- a/badgeryoke/gateway/wall_clock.py
+++ b/badgeryoke/gateway/wall_clock.py
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 
 RESYNC_INTERVAL_S = 5.0
-CATCH_UP_RATE = 0.5  # of its usual pace, while the clock is ahead of the system's time
+CATCH_UP_RATE = 0.5  # relative to the monotonic clock, while the clock is ahead of the system time
 
 
 class WallClock:
-    """Unix time in milliseconds that never runs backwards: gateways agree on it for the counter's periods.
+    """Unix time in milliseconds that never runs backwards; gateways share it for the counter's periods.
 
-    It runs on the monotonic clock and is set by the system's time every few seconds, so that a step of the
-    latter moves no deadline backwards.  After a step back it runs slow until it has been overtaken: standing
-    still it would refill no quota and end no call for as long as the step was.
+    It follows the monotonic clock and is synchronized with the system time every few seconds, so that a step of the
+    system time moves no deadline backwards.  After a step back it runs slowly until the system time has caught up:
+    if it stood still, no quota would be refilled and no call would time out for the length of the step.
 
-    Both clocks that it is given count seconds.
+    Both clocks passed in count seconds.
     """
 
     def __init__(self, monotonic: Callable[[], float], unix: Callable[[], float]) -> None:
@@ -25,7 +25,7 @@
         self._last_ms, self._read_at_s = 0.0, math.inf
 
     def __call__(self) -> float:
-        """The time now, Unix ms."""
+        """The current time, Unix ms."""
         now_s = self._monotonic()
         if now_s - self._synced_at_s >= RESYNC_INTERVAL_S:
             self._offset_s, self._synced_at_s = self._unix() - now_s, now_s
