--- a/badgeryoke/gateway/actor.py
+++ b/badgeryoke/gateway/actor.py
@@ -99,12 +99,12 @@
             try:
                 handler(*args)
             except Exception:  # a failing message must not block the messages behind it
-                log.exception("message failed: %s", handler.__qualname__)
+                log.exception("message handler failed: %s", handler.__qualname__)
             mailbox.popleft()
         try:
             self.batch_ended()
         except Exception:  # a failing actor must not keep the others from running
-            log.exception("end of batch failed: %s", type(self).__name__)
+            log.exception("end-of-batch hook failed: %s", type(self).__name__)
         if mailbox:
             self._loop.mark_ready(self)
 
--- a/badgeryoke/gateway/discovery/client.py
+++ b/badgeryoke/gateway/discovery/client.py
@@ -198,10 +198,10 @@
         snapshot = read_endpoint_snapshot(ujson.loads(bytes(body)))
         if not snapshot.full:
             if self._version is None:
-                raise ValueError("changes where the complete list was requested")
+                raise ValueError("got changes instead of the complete list")
             if snapshot.version < self._version:
                 self._version = None  # discovery restarted its versions: changes in between were missed
-                raise ValueError("changes up to an older version")
+                raise ValueError("got changes up to an older version than the known one")
         self.backoff.record_answer()
         self._last_poll_succeeded = True
         if self._logged_fault:
--- a/badgeryoke/gateway/discovery/http_response.py
+++ b/badgeryoke/gateway/discovery/http_response.py
@@ -42,7 +42,7 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             # __context__: the exception that a callback below raised
-            raise HttpResponseError(f"no HTTP response: {error.__context__ or error}") from None
+            raise HttpResponseError(f"malformed HTTP response: {error.__context__ or error}") from None
         return self._complete
 
     @property
--- a/badgeryoke/gateway/dispatcher.py
+++ b/badgeryoke/gateway/dispatcher.py
@@ -384,7 +384,7 @@
     def _start_attempt(self, now: float, action: api.SendAttempt) -> None:
         pending = self._pending.get(action.id)
         if pending is None:
-            log.warning("decision module sent a request that has ended")
+            log.warning("decision module started an attempt of a request that has ended")
             return
         number, pending.attempt_count = pending.attempt_count, pending.attempt_count + 1
         deadline_ms = pending.deadline_ms
@@ -403,11 +403,11 @@
         )
         upstream = self._find_upstream(action.server)
         if pending.attempt is not None or pending.respond is None:
-            attempt.not_sent("one attempt at a time, and none after the answer")
+            attempt.not_sent("another attempt is in flight, or the request is answered")
         elif not attempt.may_be_written(now):
             attempt.not_sent("too late to be sent")
         elif upstream is None:
-            attempt.connection_lost("server not in the list")
+            attempt.connection_lost("server is not listed")
         else:
             self._hand_to_upstream(pending, attempt, upstream)
 
--- a/badgeryoke/gateway/graceful_shutdown.py
+++ b/badgeryoke/gateway/graceful_shutdown.py
@@ -31,7 +31,7 @@
     SUCCESSOR_READY = "a successor serves"
     NOTICE_ELAPSED = "the load balancer has had time to notice"
     ALL_ANSWERED = "no connection is open"
-    TIME_EXPIRED = "no time is left"
+    TIME_EXPIRED = "the shutdown time is over"
     USAGE_REPORTED = "the last units are reported"
 
 
@@ -44,7 +44,7 @@
     CLOSE_CONNECTIONS = "close each connection between requests, new ones as well"
     KEEP_CONNECTIONS = "keep new connections open"
     STOP_ACCEPTING = "accept no connection"
-    AWAIT_REQUESTS = "post ALL_ANSWERED when no connection is open, TIME_EXPIRED when no time is left"
+    AWAIT_REQUESTS = "post ALL_ANSWERED when no connection is open, TIME_EXPIRED when the time is over"
     REPORT_USAGE = "report what is unreported, then post USAGE_REPORTED"
     EXIT = "the process ends"
 
--- a/badgeryoke/gateway/hot_restart/transfer.py
+++ b/badgeryoke/gateway/hot_restart/transfer.py
@@ -78,7 +78,7 @@
             temporary_path.replace(self._path)
             self.ready = True
         except OSError as error:
-            log.warning("no successor can ask for state: %s", error)
+            log.warning("cannot listen for a successor, which will start without state: %s", error)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         if self._busy:
@@ -91,7 +91,10 @@
                 self._successor = writer
                 return
         except TRANSFER_ERRORS as error:
-            log.warning("successor broke off, this process goes on: %s", error or "no answer in time")
+            log.warning(
+                "state transfer to the successor failed, this process keeps serving: %s",
+                error or "no answer in time",
+            )
         self._busy = False
         writer.close()
 
@@ -108,7 +111,7 @@
         writer.write(state_snapshot.encode(snapshot))
         line = await asyncio.wait_for(reader.readuntil(b"\n"), STEP_TIMEOUT_S)
         if line != SERVING_LINE:
-            raise ValueError(f"said {line[:40]!r}")
+            raise ValueError(f"unexpected line {line[:40]!r}")
         self._gateway.successor_ready(snapshot)
         return True
 
@@ -144,7 +147,7 @@
         except FileNotFoundError:
             pass  # there is no old process
         except TRANSFER_ERRORS as error:
-            log.warning("no state from an older process, starting as after a crash: %s", error or "no answer")
+            log.warning("no state from the old process, starting without it: %s", error or "no answer")
         if self._writer is not None:
             self._writer.close()
             self._writer = None
--- a/badgeryoke/gateway/lifecycle.py
+++ b/badgeryoke/gateway/lifecycle.py
@@ -220,7 +220,7 @@
         """SIGTERM: accept connections until the load balancer has noticed, answer all requests, then exit."""
         parts = self._parts
         if not self.shutdown.ending:
-            log.info("ending: %d unanswered", parts.dispatcher.unanswered)
+            log.info("shutting down: %d unanswered", parts.dispatcher.unanswered)
             if parts.cluster is not None:
                 if parts.connection_leases is not None:
                     parts.connection_leases.drain()
@@ -295,7 +295,7 @@
         """
         if not self.done.is_set():
             log.warning(
-                "no time is left: %d unanswered requests are rejected or failed",
+                "shutdown time is over: %d unanswered requests are rejected or failed",
                 self._parts.dispatcher.unanswered,
             )
             self._parts.dispatcher.answer_all_now()
@@ -309,7 +309,7 @@
         self.post(ShutdownEvent.ALL_ANSWERED)
 
     def _report_usage(self) -> None:
-        log.info("ended: all answered")
+        log.info("all requests are answered")
         self._parts.discovery.stop()
         self._parts.dispatcher.flush_timers()
         deadline_s = self._parts.loop.time() + self._parts.config.settings.counter_timeout_ms / 1000.0
--- a/badgeryoke/gateway/reload.py
+++ b/badgeryoke/gateway/reload.py
@@ -41,7 +41,7 @@
         config = _read_valid(parts, read_new_config)
     except ConfigError as fault:
         parts.dispatcher.metrics.reload_errors += 1
-        log.error("reload: configuration: %s; the old one stays", fault)
+        log.error("reload: configuration: %s; keeping the one in force", fault)
         return
     old = parts.config
     unchanged = {field: getattr(old, field) for field in PROCESS_FIELDS}
@@ -54,9 +54,9 @@
 def _read_valid(parts: GatewayParts, read_new_config: Callable[[], Config]) -> Config:
     config = read_new_config()
     if missing := first_missing_key(parts.config.file_shape, config.file_shape):
-        raise ConfigError(f"{missing}: missing, and the file in force has it")
+        raise ConfigError(f"{missing}: missing, but present in the file in force")
     if config.settings.has_counter and parts.counter is None:
-        raise ConfigError("settings.family_info.has_counter: a counter waits for the next start")
+        raise ConfigError("settings.family_info.has_counter: a counter can be added at the next start only")
     return config
 
 
--- a/tests/gateway/resp/test_client_connection.py
+++ b/tests/gateway/resp/test_client_connection.py
@@ -358,7 +358,7 @@
                 client.sendall(resp("PING"))
                 answer = client.recv(100)
         process.terminate()
-        assert "ended: all answered" in process.stderr.read()
+        assert "all requests are answered" in process.stderr.read()
         assert process.wait() == 0
 
 
--- a/tests/gateway/test_hot_restart.py
+++ b/tests/gateway/test_hot_restart.py
@@ -243,7 +243,7 @@
             await ended(app, fresh)
 
     play(test)
-    assert "starting as after a crash" in caplog.text
+    assert "no state from the old process, starting without it" in caplog.text
 
 
 def test_a_long_folder_and_an_odd_name_still_make_a_socket_path(tmp_path: Path) -> None:
