--- a/tests/gateway/discovery/test_notification_deadline.py
+++ b/tests/gateway/discovery/test_notification_deadline.py
@@ -1,5 +1,5 @@
-"""Changes are notified within the protocol's time limits, whatever discovery does and however many gateways
-watch it: fleets of discovery clients on real sockets, in an event loop whose clock jumps to the next timer."""
+"""Changes are notified within the protocol's time limits, whatever discovery does and however many gateways watch it:
+many discovery clients on real sockets, in an event loop whose clock jumps to the next timer."""
 
 from __future__ import annotations
 
@@ -17,34 +17,39 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 10_000])
 def test_the_longest_backoff_and_timeouts_stay_within_the_notification_deadline(gateways: int) -> None:
-    """A pause could take 5.4 s, and a try behind it 3 s more.  The last term is the try that is answered
-    at once."""
+    """Regression: a pause could take 5.4 s, and the poll after it 3 s more.  In each sum a final poll is answered at
+    once."""
     backoff = DiscoveryBackoff(gateways, lambda: 1.0)
     longest_pause, silence_pause = (
         max(backoff.pause_after_failure_s() for _ in range(30)),
         backoff.pause_after_silence_s(),
     )
     pause_after_rejection, later_pause = backoff.pause_after_failure_s(), backoff.pause_after_failure_s()
-    probe, wait, whole = (
+    probe_wait, poll_wait, response_timeout = (
         long_poll.PROBE_WAIT_MS / 1000,
         long_poll.LONG_POLL_WAIT_MS / 1000,
         long_poll.RESPONSE_TIMEOUT_S,
     )
-    silent = long_poll.SILENCE_TIMEOUT_S
-    rejected_then_given_up = longest_pause + (probe + whole) + silence_pause
-    trickled = (wait + whole) + silence_pause
-    silent_twice = (wait + silent) + silence_pause + (probe + silent) + silence_pause
+    silence_timeout = long_poll.SILENCE_TIMEOUT_S
+    rejected_then_given_up = longest_pause + (probe_wait + response_timeout) + silence_pause
+    trickled = (poll_wait + response_timeout) + silence_pause
+    silent_twice = (
+        (poll_wait + silence_timeout) + silence_pause + (probe_wait + silence_timeout) + silence_pause
+    )
     assert max(rejected_then_given_up, trickled) <= 5.0 and silent_twice <= 5.5
-    rejected_after_silence = (wait + silent) + silence_pause + pause_after_rejection + (probe + silent)
-    assert rejected_after_silence <= 5.8 and later_pause == longest_pause  # one call more, not a pace
+    rejected_after_silence = (
+        (poll_wait + silence_timeout) + silence_pause + pause_after_rejection + (probe_wait + silence_timeout)
+    )
+    assert rejected_after_silence <= 5.8 and later_pause == longest_pause  # the short pause applies only once
     assert (
-        3 * (probe + silent + silence_pause) <= 3.5 and probe + whole + silence_pause <= 2.0
+        3 * (probe_wait + silence_timeout + silence_pause) <= 3.5
+        and probe_wait + response_timeout + silence_pause <= 2.0
     )  # after SIGHUP: 4 s
 
 
 @pytest.mark.parametrize("gateways", [1, 40, 200])
 def test_silent_watches_are_reopened_within_the_notification_deadline(gateways: int) -> None:
-    """The next try could lie 7.5 s off: it went by a back-off that an earlier crowd had made long."""
+    """Regression: the next poll could follow after 7.5 s, since the backoff was still long from an earlier overload."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -55,22 +60,21 @@
                 await asyncio.sleep(20.0)
                 agent.mood = AgentMood.ANSWERING
                 await asyncio.sleep(6.5)
-                agent.mood = (
-                    AgentMood.SILENT_AFTER_FIRST
-                )  # those open now, and the next calls on their connections
+                # The polls open now, and the next ones on their connections.
+                agent.mood = AgentMood.SILENT_AFTER_FIRST
                 silent_since = loop.time()
                 await asyncio.sleep(0.5)
                 agent.history.append(GONE)
                 await asyncio.sleep(8.0)
-                assert fleet.all_notified_of_gone_at() < silent_since + 5.5  # counts as told at 6
+                assert fleet.all_notified_of_gone_at() < silent_since + 5.5  # counts as notified after 6 s
 
     run_in_virtual_time(test)
 
 
 @pytest.mark.parametrize("gateways", [1, 200])
 def test_an_outage_leaves_no_gateway_without_an_open_poll(gateways: int) -> None:
-    """Found in herd+mass: a list that an agent had from the outage's end came 0.39 s late, out of a pause
-    of 1.5 s."""
+    """Regression: a list that an agent held from the end of an outage was known 0.39 s too late, after a pause of
+    1.5 s."""
 
     async def test() -> None:
         async with VersionedAgent() as agent:
@@ -89,7 +93,7 @@
 def test_polls_in_an_outage_are_bounded_and_its_end_reaches_all_gateways(
     gateways: int, max_polls: int
 ) -> None:
-    """Silent for 8 s: each try waited 6 s for its answer, and the next stood off for up to 7.5 s more."""
+    """Regression: with silence of 8 s each poll waited 6 s for its answer, and the next followed up to 7.5 s later."""
 
     async def test() -> None:
         loop = asyncio.get_running_loop()
@@ -110,7 +114,7 @@
                 )
                 agent.mood = AgentMood.ANSWERING
                 await asyncio.sleep(8.0)
-                # A call of the outage, which this agent never answers, is held for 4 s.
+                # A poll sent in the outage, which this agent never answers, is open for 4 s.
                 assert fleet.all_notified_of_gone_at() < silent_since + 8.0 + 4.2
 
     run_in_virtual_time(test)
@@ -125,7 +129,7 @@
                 await asyncio.sleep(50.0)
                 late = [at for at in agent.polled_at if at > 20.0]
                 assert most_in_a_window(late, 1.0) <= 130
-                assert len(late) >= 200 * 10  # 31 s: each at least every 3 s
+                assert len(late) >= 200 * 10  # in 31 s: at least one poll per gateway every 3 s
 
     run_in_virtual_time(test)
 
@@ -150,7 +154,7 @@
     "mood", [AgentMood.ANSWERING, AgentMood.OVERLOADED, AgentMood.SILENT], ids=lambda mood: mood.value
 )
 def test_a_new_address_is_polled_at_once_even_during_backoff(mood: AgentMood) -> None:
-    """SIGHUP counts after 4 s, and a pause of 7.5 s was waited to its end."""
+    """Regression: a pause of 7.5 s was not interrupted, and the time limit after SIGHUP is 4 s."""
 
     async def test() -> None:
         async with VersionedAgent() as agent, VersionedAgent() as new_agent:
@@ -188,7 +192,8 @@
 
 @pytest.mark.parametrize("turns", range(5))
 def test_cancellation_while_a_connection_is_lost_ends_the_watch(turns: int) -> None:
-    """The fault was taken in its place, and a process that ended by its tasks went on for ever."""
+    """Regression: the connection's error replaced the cancellation, and a process that waits for its tasks never
+    ended."""
 
     async def test() -> None:
         async with VersionedAgent() as agent:
--- a/tests/gateway/discovery/test_responses.py
+++ b/tests/gateway/discovery/test_responses.py
@@ -1,5 +1,5 @@
-"""How discovery's HTTP responses are delimited, and what follows from one that is slow, truncated, rejected
-or malformed: discovery clients on real sockets, in virtual time."""
+"""How discovery's HTTP responses are delimited, and the effects of slow, truncated, error and malformed responses:
+discovery clients on real sockets, in virtual time."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 HEAD, HINTS = OK + LENGTH, b"HTTP/1.1 103 Early Hints\r\n\r\n"
 INDENTED = json.dumps(json.loads(LIST), indent=2).encode() + b"\n"
 DELIMITED_BY_CLOSE = {
-    "nothing said": sends(OK + b"\r\n" + LIST),
+    "neither length nor close": sends(OK + b"\r\n" + LIST),
     "close": sends(OK + b"Connection: close\r\n\r\n", LIST, interval_s=0.1),
     "1.0": sends(b"HTTP/1.0 200 OK\r\n\r\n" + LIST),
     "1.0, keep-alive": sends(b"HTTP/1.0 200 OK\r\nConnection: keep-alive\r\n\r\n" + LIST),
@@ -62,26 +62,27 @@
 
 @pytest.mark.parametrize("framing", DELIMITED_BY_CLOSE)
 def test_a_response_delimited_by_the_end_of_its_connection_is_valid(framing: str) -> None:
-    """One without a length was rejected: such a day never got a list.  Behind any other good one that
-    closed stood a pause, and a short call for each: ten a second without end."""
+    """Regression: a response without a length was rejected, so no list was ever received.  After any other valid
+    response that ended its connection a pause and a short poll followed: ten polls a second without end."""
 
     async def test() -> None:
         async with ScriptedAgent(*[DELIMITED_BY_CLOSE[framing]] * 5) as agent:
             with WatchingFleet(agent.port, 1, gateway_count=200) as fleet:
                 client = fleet.clients[0]
-                client.backoff._pause_s = client.backoff.longest_pause_s  # as an overload has left it
+                client.backoff._pause_s = client.backoff.longest_pause_s  # as after an overload
                 await asyncio.sleep(3.0)
                 assert len(fleet.notifications[0]) == len(agent.answered_at) == 5 and not client._logged_fault
                 assert [call[1] for call in agent.polls] == [1, 2, 3, 4, 5, 6]
                 assert all("after=7&wait_ms=3000" in call[2] for call in agent.polls[1:])
                 gaps = [call[0] - at for call, at in zip(agent.polls[1:], agent.answered_at, strict=True)]
-                assert max(gaps) < 0.1  # the protocol: a watch goes on where the next poll comes within 0.2 s
+                # By the protocol a watch continues if the next poll comes within 0.2 s.
+                assert max(gaps) < 0.1
 
     run_in_virtual_time(test)
 
 
 @pytest.mark.parametrize(
-    "then",
+    "second_act",
     [
         pytest.param(responds_slowly(NEXT_LIST, 1.5), id="from the start"),
         pytest.param(responds_slowly(NEXT_LIST, 1.5, 2.9), id="at the end of the wait"),
@@ -92,11 +93,11 @@
         ),
     ],
 )
-def test_a_slow_response_is_accepted_while_bytes_keep_arriving(then: Act) -> None:
-    """Regression: a response that began at the end of the wait was abandoned midway, however steadily it came."""
+def test_a_slow_response_is_accepted_while_bytes_keep_arriving(second_act: Act) -> None:
+    """Regression: a response that began at the end of the wait was abandoned midway, even if bytes kept arriving."""
 
     async def test() -> None:
-        async with ScriptedAgent(responds_slowly(LIST, 1.5), then) as agent:
+        async with ScriptedAgent(responds_slowly(LIST, 1.5), second_act) as agent:
             with WatchingFleet(agent.port, 1) as fleet:
                 await asyncio.sleep(6.0)
                 assert [m.servers[0].id for _, m in fleet.notifications[0]] == [
@@ -107,7 +108,7 @@
     run_in_virtual_time(test)
 
 
-def test_an_agent_that_is_always_slow_is_given_a_long_poll_in_the_end() -> None:
+def test_an_agent_that_is_always_slow_gets_a_long_poll_eventually() -> None:
     """With short polls alone the client would retry for ever."""
 
     async def test() -> None:
@@ -154,8 +155,8 @@
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 10_000])
 def test_a_change_is_notified_in_time_after_the_longest_backoff_and_timeout(gateways: int) -> None:
-    """503 until a moment ago, the longest pause, a poll abandoned at its latest moment.  Regression: this
-    took 9.5 s at 200 gateways."""
+    """The worst case: responses with 503, then the longest pause, then a poll that is abandoned as late as possible.
+    Regression: this took 9.5 s at 200 gateways."""
 
     async def test() -> None:
         async with ScriptedAgent(
@@ -170,23 +171,26 @@
 
 
 def test_silence_while_connecting_is_detected_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A SYN without an answer, as from a machine that has vanished."""
+    """A SYN without an answer, as after the loss of a machine."""
 
     async def test() -> None:
         loop, connected_at = asyncio.get_running_loop(), []
 
-        def recording_dial(*given: Any) -> Any:
+        def recording_dial(*arguments: Any) -> Any:
             connected_at.append(loop.time())
-            return connecting.dial(*given)
+            return connecting.dial(*arguments)
 
         monkeypatch.setattr(discovery_client, "dial", recording_dial)
-        with socket.create_server((HOST, 0), backlog=0) as deaf, contextlib.ExitStack() as full:
+        with (
+            socket.create_server((HOST, 0), backlog=0) as unresponsive_server,
+            contextlib.ExitStack() as pending_connections,
+        ):
             for _ in range(3):  # nobody accepts: the queue is full
-                made = full.enter_context(socket.socket())
-                made.setblocking(False)
-                made.connect_ex(deaf.getsockname())
+                pending_socket = pending_connections.enter_context(socket.socket())
+                pending_socket.setblocking(False)
+                pending_socket.connect_ex(unresponsive_server.getsockname())
             await asyncio.sleep(0.05)
-            with WatchingFleet(deaf.getsockname()[1], 1, draw=lambda: 1.0):
+            with WatchingFleet(unresponsive_server.getsockname()[1], 1, draw=lambda: 1.0):
                 await asyncio.sleep(4.3)
         assert [round(at - connected_at[0], 2) for at in connected_at] == [0.0, 1.05, 2.1, 3.15, 4.2]
 
@@ -194,7 +198,7 @@
 
 
 def test_a_poll_that_cannot_be_written_is_abandoned() -> None:
-    """Regression: the write had no time limit; an agent that does not read fills the buffers in between."""
+    """Regression: the write had no time limit; with an agent that does not read, the buffers in between fill up."""
 
     async def test() -> None:
         async with ScriptedAgent(responds(LIST), responds_slowly(NEXT_LIST, 0.1)) as agent:
@@ -255,8 +259,8 @@
     ],
 )
 def test_an_endless_response_is_bounded_beside_its_body(first: bytes, repeated: bytes) -> None:
-    """Regression: after a 1xx or the last chunk nothing was counted.  A read that finds data does not wait,
-    so no time limit ended one either."""
+    """Regression: bytes after a 1xx or the last chunk were not counted.  A read that finds data does not wait, so no
+    time limit ended such a response either."""
     response: Any = HttpResponse()
     with pytest.raises(ValueError, match="too large"):
         response.feed(first)
@@ -293,7 +297,8 @@
 def test_a_process_becomes_ready_in_time_whatever_discovery_does(
     act: Act | None, cached: EndpointSnapshot | None, gateways: int
 ) -> None:
-    """With no list known, or an empty one, nothing made it ready while discovery was silent or rejected."""
+    """Regression: without a cached list, or with an empty one, a process was never ready while discovery was silent or
+    rejected its polls."""
 
     async def test() -> None:
         async with ScriptedAgent(*[act] * 200 if act is not None else []) as agent:
@@ -307,7 +312,7 @@
 
 
 def test_a_process_without_an_endpoint_list_rejects_requests_at_once() -> None:
-    """Clients get an error, and nothing is sent to a server that discovery did not name."""
+    """Clients get an error, and nothing is sent to a server that discovery has not listed."""
 
     async def test() -> None:
         async with ScriptedAgent() as agent, gateway(config(agent.port, None)) as app:
@@ -347,12 +352,12 @@
     run_in_virtual_time(test)
 
 
-def changes(version: int, *told: dict[str, Any]) -> Act:
-    return responds(json.dumps({"version": version, "full": False, "servers": told}).encode())
+def changes(version: int, *servers: dict[str, Any]) -> Act:
+    return responds(json.dumps({"version": version, "full": False, "servers": servers}).encode())
 
 
 def test_changes_up_to_an_older_version_make_the_client_fetch_the_complete_list() -> None:
-    """Discovery restarted its versions: the changes in between were missed, and nothing ever showed it."""
+    """Regression: when discovery restarted its versions, the changes in between were missed without any error."""
 
     async def test() -> None:
         async with ScriptedAgent(responds(LIST), changes(3, GONE), responds(NEXT_LIST), changes(8)) as agent:
@@ -380,7 +385,7 @@
     ],
 )
 def test_polls_of_an_agent_that_holds_none_are_spaced(act: Act) -> None:
-    """Regression: the next poll followed at once, and took a core on both sides."""
+    """Regression: the next poll followed at once, which took a CPU core on both sides."""
 
     async def test() -> None:
         async with ScriptedAgent(responds(LIST), *[act] * 2000) as agent:
@@ -407,7 +412,7 @@
                     await asyncio.sleep(0.01)
                 await asyncio.sleep(0.1)
                 now = asyncio.get_running_loop().time()
-                client.backoff.silent_polls = 9  # as an outage leaves it
+                client.backoff.silent_polls = 9  # as after an outage
                 client.switch_address((HOST, new_agent.port))
                 await asyncio.sleep(4.0)
                 assert fleet.notifications[0][0][0] < now + 1.3
@@ -425,7 +430,8 @@
 def test_closing_the_connection_from_this_side_completes_no_response(
     end: Callable[[DiscoveryClient], None],
 ) -> None:
-    """It looks like the orderly end of a response: what has come of the old list must not be applied."""
+    """The close looks like the orderly end of a response, but a partial list from the old address must not be
+    applied."""
 
     async def test() -> None:
         async with ScriptedAgent(sends(OK + b"\r\n" + LIST, interval_s=9.0)) as agent:
@@ -442,7 +448,7 @@
     async def test() -> None:
         async with ScriptedAgent(responds(LIST), sends(), responds(NEXT_LIST)) as agent:
 
-            async def scarce() -> None:
+            async def exhaust_descriptors() -> None:
                 with monkeypatch.context() as patch:
                     patch.setattr(
                         connecting, "new_socket", lambda _: (_ for _ in ()).throw(OSError(errno.EMFILE, ""))
@@ -451,7 +457,7 @@
 
             with WatchingFleet(agent.port, 1, gateway_count=200, draw=lambda: 1.0) as fleet:
                 await asyncio.sleep(0.01)
-                await scarce()
+                await exhaust_descriptors()
                 since = asyncio.get_running_loop().time()
                 await asyncio.sleep(5.0)
                 assert fleet.notifications[0][1][0] < since + 3.1
--- a/tests/gateway/test_connecting.py
+++ b/tests/gateway/test_connecting.py
@@ -1,4 +1,4 @@
-"""Connections that are being established, or never are."""
+"""Connections that are not established yet, or cannot be established."""
 
 from __future__ import annotations
 
@@ -22,8 +22,7 @@
 
 @pytest.fixture
 def unreachable_port() -> Iterator[int]:
-    """A port whose connections are never established: the listener's queue is full, and further ones are
-    dropped."""
+    """A port on which no connection is established: the listener's backlog is full, so the SYNs are dropped."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind((HOST, 0))
@@ -48,7 +47,7 @@
         )
         request = Request("a1", "read", "plain", 7, 4000.0, 1.0, 2, idempotent=True)
         upstream.start(Attempt(request, 0, 1, NOW_MS, NOW_MS + 4000.0, lambda _, end: ends.put_nowait(end)))
-        end = await asyncio.wait_for(ends.get(), 5)  # without this a fault would only show as a hang
+        end = await asyncio.wait_for(ends.get(), 5)  # with a timeout, so that a fault does not show as a hang
         assert (end.verdict, end.stage) == (Verdict.CONNECT_FAILED, AttemptStage.NOT_WRITTEN)
 
     run_test(test)
@@ -75,7 +74,7 @@
     async def test() -> None:
         reported: list[bool] = []
         stream, connected = dial((HOST, 1), 1024)
-        stream.close()  # as where connecting fails in the call itself
+        stream.close()  # as if connecting failed within the call
         on_close(stream, lambda: reported.append(True))
         assert reported == [True]
         with contextlib.suppress(StreamClosedError):
--- a/tests/gateway/test_counter_and_discovery.py
+++ b/tests/gateway/test_counter_and_discovery.py
@@ -30,7 +30,7 @@
             assert (late.name, late.verdict) == (7, Verdict.TIMEOUT)
             calls.client.add(8, 5.0, 1000.0, calls.replies.put_nowait)
             counter.held.set()
-            total = await calls.replies.get()  # the late answer of 7 is not taken for that of 8
+            total = await calls.replies.get()  # the late reply for 7 is not taken as the reply for 8
             assert (total.name, total.verdict, total.total) == (8, Verdict.OK, 5.0)
             calls.client.close()
 
@@ -52,10 +52,10 @@
         async with Counter() as counter:
             calls = CounterCalls(counter.port)
             await calls.connected()
-            good, counter.answer = counter.answer, lambda total: answer
+            normal_answer, counter.answer = counter.answer, lambda total: answer
             assert (await calls.call(7)).verdict is verdict
-            counter.answer = good
-            await calls.connected()  # the client goes on, over a new connection where the old one is unusable
+            counter.answer = normal_answer
+            await calls.connected()  # the client continues, on a new connection if the old one is unusable
             calls.client.close()
 
     run_test(test)
@@ -81,7 +81,7 @@
     run_test(test)
 
 
-def test_a_frozen_counter_is_left_for_a_new_connection() -> None:
+def test_a_silent_counter_connection_is_replaced() -> None:
     async def test() -> None:
         async with Counter() as counter:
             calls = CounterCalls(counter.port, 1.0)
@@ -123,13 +123,15 @@
         self.client.start()
 
 
-def test_the_cached_discoveryis_used_until_discovery_sends_the_complete_one_and_then_changes() -> None:
+def test_the_cached_list_is_used_until_discovery_sends_the_complete_one_and_then_changes() -> None:
     async def test() -> None:
         async with Discovery() as absent:
             port = absent.port
         watch = Watch(port, roster(entry("a", 9)))
         first, endpoints = await watch.notifications.get()
-        assert first.scope is ListScope.CACHED and [one.address[1] for one in endpoints.values()] == [9]
+        assert first.scope is ListScope.CACHED and [
+            endpoint.address[1] for endpoint in endpoints.values()
+        ] == [9]
         discovery = Discovery(entry("a", 1), entry("b", 2))
         discovery.port = port
         async with discovery:
@@ -139,7 +141,7 @@
             discovery.change({"id": "a", "state": "left"})
             change, endpoints = await watch.notifications.get()
             assert (change.scope, change.servers[0].state) == (ListScope.CHANGES, EndpointState.GONE)
-            assert [one.id for one in endpoints.values()] == ["b"]
+            assert [endpoint.id for endpoint in endpoints.values()] == ["b"]
             while len(discovery.calls) < 3:
                 await asyncio.sleep(0)
             assert discovery.calls[0] == "/api/targets"
@@ -150,8 +152,9 @@
     run_test(test)
 
 
-def test_the_cached_discoveryis_not_used_before_discovery_had_time_to_answer() -> None:
-    """What the agent holds counts as notified: a new gateway would send to a draining server."""
+def test_the_cached_list_is_not_used_before_discovery_had_time_to_answer() -> None:
+    """A list that the agent holds counts as notified: by its cached list a new gateway would send requests to a
+    draining server."""
 
     async def test() -> None:
         async with Discovery(entry("a", 1, "leaving")) as discovery:
@@ -187,7 +190,7 @@
     run_test(test)
 
 
-def test_a_lost_watch_resumes_from_the_version_held() -> None:
+def test_a_lost_watch_resumes_from_the_known_version() -> None:
     async def test() -> None:
         async with Discovery(entry("a", 1)) as discovery:
             watch = Watch(discovery.port)
--- a/tests/gateway/test_dispatcher.py
+++ b/tests/gateway/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""The dispatcher gives one final response for each request, whatever happens."""
+"""The dispatcher gives exactly one final response to each request, whatever faults occur."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
 
 
 def test_a_started_response_uses_no_server_capacity() -> None:
-    """Regression: long values held the places of requests that servers had capacity for."""
-    made = samples.gateway(has_counter=False)
-    [sent] = samples.only(made.handle(samples.START, samples.request("a", spread=1)), api.SendAttempt)
-    assert made._balancer._in_flight == 1 and made._balancer._servers[sent.server].in_flight
-    made.handle(samples.START + 10.0, api.ResponseStarted("a"))
-    assert made._balancer._in_flight == 0 and not made._balancer._servers[sent.server].in_flight
-    made.handle(samples.START + 900.0, samples.outcome(sent, api.Verdict.OK, rtt=10.0))
-    assert made._balancer._in_flight == 0 and not made._pending
+    """Regression: streamed responses took up server capacity until they were delivered."""
+    engine = samples.gateway(has_counter=False)
+    [sent] = samples.only(engine.handle(samples.START, samples.request("a", spread=1)), api.SendAttempt)
+    assert engine._balancer._in_flight == 1 and engine._balancer._servers[sent.server].in_flight
+    engine.handle(samples.START + 10.0, api.ResponseStarted("a"))
+    assert engine._balancer._in_flight == 0 and not engine._balancer._servers[sent.server].in_flight
+    engine.handle(samples.START + 900.0, samples.outcome(sent, api.Verdict.OK, rtt=10.0))
+    assert engine._balancer._in_flight == 0 and not engine._pending
 
 
 def test_a_succeeded_attempt_gives_the_final_response_once() -> None:
@@ -49,7 +49,7 @@
 
 
 SILENT_CASES = pytest.mark.parametrize(
-    ("cls", "written", "kind"),
+    ("class_name", "written", "response_type"),
     [
         pytest.param("balance-check", True, Rejected, id="idempotent"),
         pytest.param("load-send", True, Rejected, id="with a key, deduplicated by all servers"),
@@ -61,11 +61,11 @@
 
 @SILENT_CASES
 def test_near_sigkill_each_pending_request_gets_its_response_before_its_deadline(
-    cls: str, written: bool, kind: type
+    class_name: str, written: bool, response_type: type
 ) -> None:
-    """A deadline may be longer than the one SIGKILL waits for, and an end without a response is a loss."""
+    """A deadline may lie after SIGKILL, and a request without a response at the end is lost."""
     bench = DispatcherBench(can_cancel=False)
-    bench.submit(cls, d=3300.0)
+    bench.submit(class_name, d=3300.0)
     if written:
         bench.last_attempt.written()
     bench.loop.run(1.0)
@@ -76,17 +76,19 @@
     )
     Lifecycle._answer_all_now(lifecycle)  # type: ignore[arg-type]
     bench.loop.run(0.01)
-    assert [type(answer) for answer in bench.responses] == [kind] and not bench.dispatcher.unanswered
+    assert [type(answer) for answer in bench.responses] == [response_type] and not bench.dispatcher.unanswered
 
 
 @SILENT_CASES
-def test_the_deadline_is_kept_when_the_server_is_silent(cls: str, written: bool, kind: type) -> None:
+def test_the_deadline_is_kept_when_the_server_is_silent(
+    class_name: str, written: bool, response_type: type
+) -> None:
     bench = DispatcherBench(can_cancel=False)
-    bench.submit(cls)
+    bench.submit(class_name)
     if written:
         bench.last_attempt.written()
     bench.loop.run(1.99)  # before the client gives up at 2 s
-    assert [type(answer) for answer in bench.responses] == [kind]
+    assert [type(answer) for answer in bench.responses] == [response_type]
     assert bench.last_attempt.ended and not bench.dispatcher.unanswered
 
 
@@ -94,14 +96,14 @@
 def test_a_decision_module_fault_costs_no_request_its_response(
     event: type, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    real = DecisionEngine.handle
+    real_handle = DecisionEngine.handle
 
-    def faulty(self: DecisionEngine, now: float, received: api.Event) -> list[api.Action]:
+    def failing_handle(self: DecisionEngine, now: float, received: api.Event) -> list[api.Action]:
         if isinstance(received, event):
             raise ValueError("a fault")
-        return real(self, now, received)
+        return real_handle(self, now, received)
 
-    monkeypatch.setattr(DecisionEngine, "handle", faulty)
+    monkeypatch.setattr(DecisionEngine, "handle", failing_handle)
     bench = DispatcherBench()
     bench.submit()
     if bench.upstream.attempts:
@@ -174,7 +176,7 @@
 
 
 def test_a_retry_is_not_written_after_the_deduplication_window() -> None:
-    """Regression: the window was checked before the connection was made, which may take as long as it."""
+    """Regression: the window was checked before connecting, which may take as long as the window."""
     bench = DispatcherBench()
     bench.submit("load-send", idempotency_key="k")
     assert bench.last_attempt.may_be_written(
@@ -187,20 +189,20 @@
     assert not bench.last_attempt.may_be_written(NOW_MS + 1000.0)
 
 
-@pytest.mark.parametrize("first", ["answer", "cancel", "deadline", "client leaves"])
+@pytest.mark.parametrize("first_step", ["answer", "cancel", "deadline", "client disconnects"])
 def test_a_response_and_a_timeout_in_one_batch_make_one_response_and_one_outcome(
-    first: str, monkeypatch: pytest.MonkeyPatch
+    first_step: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whichever comes first counts, and the decision module is notified of the same."""
+    """The first of the two counts, and the decision module gets the same outcome."""
     outcomes: list[api.AttemptOutcome] = []
-    real = DecisionEngine.handle
+    real_handle = DecisionEngine.handle
 
-    def recorded(self: DecisionEngine, now: float, event: api.Event) -> list[api.Action]:
+    def recording_handle(self: DecisionEngine, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptOutcome):
             outcomes.append(event)
-        return real(self, now, event)
+        return real_handle(self, now, event)
 
-    monkeypatch.setattr(DecisionEngine, "handle", recorded)
+    monkeypatch.setattr(DecisionEngine, "handle", recording_handle)
     bench = DispatcherBench()
     disconnect = bench.submit("once")
     attempt = bench.last_attempt
@@ -211,20 +213,21 @@
         "deadline": lambda: bench.dispatcher.post(
             bench.dispatcher._deadline_expired, bench.dispatcher._pending["1"]
         ),
-        "client leaves": disconnect,
+        "client disconnects": disconnect,
     }
-    steps[first]()
-    if first != "answer":
+    steps[first_step]()
+    if first_step != "answer":
         bench.dispatcher.post(lambda: attempt.succeeded(b"value"))
     else:
-        for other in ("cancel", "deadline", "client leaves"):
-            steps[other]()
+        for step in ("cancel", "deadline", "client disconnects"):
+            steps[step]()
     bench.loop.run(3.0)
     verdicts = {"answer": api.Verdict.OK, "deadline": api.Verdict.TIMEOUT}
-    assert [outcome.verdict for outcome in outcomes] == [verdicts.get(first, api.Verdict.CANCELLED)]
-    assert [type(response) for response in bench.responses] == {"answer": [Served], "client leaves": []}.get(
-        first, [Failed]
-    )
+    assert [outcome.verdict for outcome in outcomes] == [verdicts.get(first_step, api.Verdict.CANCELLED)]
+    assert [type(response) for response in bench.responses] == {
+        "answer": [Served],
+        "client disconnects": [],
+    }.get(first_step, [Failed])
     assert not bench.dispatcher._pending and len(bench.upstream.attempts) == 1
 
 
@@ -233,8 +236,8 @@
     [pytest.param(False, id="before the decision"), pytest.param(True, id="while waiting for units")],
 )
 def test_a_request_overtaken_by_new_settings_is_rejected_and_not_retried(reserved_wait: bool) -> None:
-    """Regression: it was validated and written by the old rule on retries, and retried by the new one: a class
-    that had become idempotent got a second attempt of a request that was not."""
+    """Regression: the request was validated and written by the old rule on retries and retried by the new one, so
+    that a request that was not idempotent got a second attempt once its class had become idempotent."""
     bench = DispatcherBench()
     waiting: list[Any] = []
 
@@ -288,7 +291,7 @@
             "write started",
             "abort",
             api.Verdict.TIMEOUT,
-        ),  # the rest may go out before the upstream hears of it
+        ),  # the rest may be sent before the upstream is notified
         ("write started", "connection_lost", api.Verdict.CONNECT_FAILED),
     ],
 )
@@ -302,37 +305,38 @@
     attempt.write_started = stage != AttemptStage.NOT_WRITTEN
     getattr(attempt, method)(api.Verdict.TIMEOUT if method == "abort" else "why")
     attempt.connection_lost("a second end does not count")
-    reached = AttemptStage.NOT_WRITTEN if stage == "write started" else stage
-    assert [(end.verdict, end.stage) for end in ends] == [(verdict, reached)]
+    expected_stage = AttemptStage.NOT_WRITTEN if stage == "write started" else stage
+    assert [(end.verdict, end.stage) for end in ends] == [(verdict, expected_stage)]
 
 
 def test_a_failing_message_does_not_affect_later_messages() -> None:
     loop = FakeLoop()
-    done: list[int] = []
+    handled: list[int] = []
     actor = Actor(ActorScheduler(loop))
-    actor.post(done.remove, 7)
-    actor.post(done.append, 1)
+    actor.post(handled.remove, 7)
+    actor.post(handled.append, 1)
     loop.run()
-    assert done == [1]
+    assert handled == [1]
 
 
 def test_the_wall_clock_follows_system_time_and_never_runs_back_or_stands_still() -> None:
-    """Regression: set back by an hour it stood still for an hour: no quota refilled, and all were rejected."""
-    at = {"mono": 0.0, "unix": 1000.0}
-    clock = WallClock(lambda: at["mono"], lambda: at["unix"])
+    """Regression: after a step back by an hour the clock stood still for an hour: no quota was refilled, and all
+    requests were rejected."""
+    clock_s = {"mono": 0.0, "unix": 1000.0}
+    clock = WallClock(lambda: clock_s["mono"], lambda: clock_s["unix"])
     assert clock() == 1_000_000.0
-    at.update(mono=6.0, unix=900.0)  # stepped back
+    clock_s.update(mono=6.0, unix=900.0)  # stepped back
     assert clock() == 1_003_000.0
-    at.update(mono=10.0, unix=904.0)
+    clock_s.update(mono=10.0, unix=904.0)
     assert clock() == 1_005_000.0
-    at.update(mono=12.0, unix=1100.0)
+    clock_s.update(mono=12.0, unix=1100.0)
     assert clock() == 1_100_000.0
 
 
 def test_loop_lag_sheds_load_until_it_is_over() -> None:
-    """Regression: where the event loop ran late all was decided on, and answered too late."""
+    """Regression: while the event loop lagged, all requests were still decided on and answered too late."""
     bench = DispatcherBench()
-    bench.dispatcher.record_loop_lag(300.0)  # one stall is no overload: the objective is 400 ms
+    bench.dispatcher.record_loop_lag(300.0)  # a single stall is not an overload: the objective is 400 ms
     bench.submit()
     assert len(bench.upstream.attempts) == 1
     for _ in range(30):
--- a/tests/gateway/test_golden_hot_restart.py
+++ b/tests/gateway/test_golden_hot_restart.py
@@ -1,4 +1,4 @@
-"""The state that one process hands to the next, byte for byte, and what the next does with it."""
+"""The state that one process transfers to its successor, byte for byte, and how the successor continues from it."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from badgeryoke.gateway.hot_restart import transfer
 from tests.support import policy_drive, samples
 from tests.support.golden_files import assert_golden, golden, text_lines
-from tests.support.running import run_test as play
+from tests.support.running import run_test
 
 FIRST_SEED, SECOND_SEED = 15, 16
 EVENTS, EVENTS_AFTER = 1949, 400
 NAMES = {number: f"server-{number}" for number in range(1, 6)}
-NUMBERS = {name: number + 20 for number, name in NAMES.items()}  # the successor numbers them otherwise
+NUMBERS = {name: number + 20 for number, name in NAMES.items()}  # the successor's server numbers differ
 STATE, SECOND_STATE, ACTIONS, LINES = (
     "state.bin",
     "state-second.bin",
@@ -28,25 +28,25 @@
 )
 
 
-def driven() -> policy_drive.Drive:
-    """A module whose ledgers, servers, quota and choice among servers have all been in use."""
-    gateway = DecisionEngine(policy_drive.SETTINGS, FIRST_SEED)
-    gateway.handle(samples.START, api.EndpointList(api.ListScope.CACHED, policy_drive.SERVERS))
-    drive = policy_drive.Drive(gateway, FIRST_SEED, samples.START)
+def driven_engine() -> policy_drive.Drive:
+    """A decision module whose quotas, servers and balancer have all been in use."""
+    engine = DecisionEngine(policy_drive.SETTINGS, FIRST_SEED)
+    engine.handle(samples.START, api.EndpointList(api.ListScope.CACHED, policy_drive.SERVERS))
+    drive = policy_drive.Drive(engine, FIRST_SEED, samples.START)
     drive.schedule(policy_drive.FRESH_AT, api.EndpointList(api.ListScope.CHANGES, (policy_drive.FRESH,)))
     drive.play(EVENTS)
-    forgetful = gateway._quota._quotas[8]
-    forgetful.epoch, forgetful.previous_epoch = 3, 2  # as after a counter that had forgotten
+    reset_quota = engine._quota._quotas[8]
+    reset_quota.epoch, reset_quota.previous_epoch = 3, 2  # as after a counter that lost its data
     return drive
 
 
-def encoded(gateway: DecisionEngine, names: dict[int, str]) -> bytes:
-    """The state of a module as it goes to the successor."""
-    return state_snapshot.encode(state_snapshot.take_snapshot(gateway, names))
+def encoded(engine: DecisionEngine, names: dict[int, str]) -> bytes:
+    """The state of a module, encoded for the successor."""
+    return state_snapshot.encode(state_snapshot.take_snapshot(engine, names))
 
 
 def decoded(state: bytes) -> state_snapshot.StateSnapshot:
-    """The state as the successor reads it."""
+    """The state as decoded by the successor."""
     head, body = state.split(b"\n", 1)
     checksum, length = state_snapshot.read_head(head)
     assert length == len(body)
@@ -54,43 +54,43 @@
 
 
 def successor(state: bytes, now: float) -> policy_drive.Drive:
-    """A fresh module that goes on from a state, with its first actions under way."""
-    gateway = DecisionEngine(policy_drive.SETTINGS, SECOND_SEED)
-    numbered = tuple(
+    """A new module that continues from a state, with its first actions being executed."""
+    engine = DecisionEngine(policy_drive.SETTINGS, SECOND_SEED)
+    servers = tuple(
         samples.server(NUMBERS[name], "a" if number in (1, 2, 5) else "b") for number, name in NAMES.items()
     )
-    gateway.handle(now, api.EndpointList(api.ListScope.CACHED, numbered))
-    actions = state_snapshot.restore_snapshot(gateway, now, decoded(state), NUMBERS)
-    drive = policy_drive.Drive(gateway, SECOND_SEED, now)
+    engine.handle(now, api.EndpointList(api.ListScope.CACHED, servers))
+    actions = state_snapshot.restore_snapshot(engine, now, decoded(state), NUMBERS)
+    drive = policy_drive.Drive(engine, SECOND_SEED, now)
     drive.answer(actions)
     return drive
 
 
 def end_of_drive() -> float:
-    """When the first module handed over, ms."""
-    return driven().now
+    """The time at which the first module's state is transferred, ms."""
+    return driven_engine().now
 
 
 def names_of_successor() -> dict[int, str]:
-    """Its servers' names by its own numbers."""
+    """The servers' names by the successor's numbers."""
     return {number: name for name, number in NUMBERS.items()}
 
 
 def test_the_same_events_give_the_same_state() -> None:
-    assert_golden(STATE, encoded(driven().gateway, NAMES))
+    assert_golden(STATE, encoded(driven_engine().gateway, NAMES))
 
 
-def test_every_figure_of_the_state_is_in_use() -> None:
-    """A column in which all entries were alike would not show that it stands at another place."""
+def test_every_field_of_the_state_is_in_use() -> None:
+    """With equal values in a column the test would not detect that fields are swapped."""
     state = decoded(golden(STATE))
-    idle = (0, None)
+    unused_values = (0, None)
     for columns in (
         zip(*(astuple(customer.fields) for customer in state.customers), strict=True),
         zip(*(astuple(server.fields) for server in state.servers), strict=True),
     ):
-        assert all(any(value not in idle for value in column) for column in columns)
+        assert all(any(value not in unused_values for value in column) for column in columns)
     gateway_fields = [*astuple(state.quota_manager), *astuple(state.balancer)]
-    assert all(value not in idle for value in [*gateway_fields, state.retry_budget])
+    assert all(value not in unused_values for value in [*gateway_fields, state.retry_budget])
     assert len(set(gateway_fields)) == len(gateway_fields)
     assert len(state.customers) == len(policy_drive.CUSTOMERS) and len(state.servers) == len(NAMES)
     amounts = [
@@ -100,16 +100,16 @@
     assert all(any(column) for column in zip(*amounts, strict=True))
 
 
-def test_a_state_that_was_read_is_written_as_it_was() -> None:
+def test_a_decoded_state_is_encoded_to_the_same_bytes() -> None:
     assert state_snapshot.encode(decoded(golden(STATE))) == golden(STATE)
 
 
-def test_a_successor_hands_on_the_golden_second_state() -> None:
+def test_a_successor_transfers_the_golden_second_state() -> None:
     drive = successor(golden(STATE), end_of_drive())
     assert_golden(SECOND_STATE, encoded(drive.gateway, names_of_successor()))
 
 
-def test_a_successor_goes_on_with_the_golden_actions() -> None:
+def test_a_successor_continues_with_the_golden_actions() -> None:
     drive = successor(golden(STATE), end_of_drive())
     drive.play(EVENTS_AFTER)
     assert_golden(ACTIONS, text_lines(drive.record))
@@ -119,89 +119,89 @@
 
 
 class Predecessor:
-    """A gateway that gives the golden state, or says why not."""
+    """A gateway that sends the golden state, or the reason for having none."""
 
-    def __init__(self, why_not: str = "") -> None:
-        self._why_not = why_not
-        self.told = asyncio.Event()
+    def __init__(self, refusal: str = "") -> None:
+        self._refusal = refusal
+        self.notified = asyncio.Event()
 
     def take_snapshot(self) -> state_snapshot.StateSnapshot | str:
-        return self._why_not or decoded(golden(STATE))
+        return self._refusal or decoded(golden(STATE))
 
-    def successor_ready(self, handed: state_snapshot.StateSnapshot) -> None:
-        self.told.set()
+    def successor_ready(self, snapshot: state_snapshot.StateSnapshot) -> None:
+        self.notified.set()
 
 
-async def refused_by_giver(folder: Path, predecessor: Predecessor, line: bytes) -> bytes:
-    """What the old process answers to a line that it does not go by."""
+async def sender_refusal(folder: Path, predecessor: Predecessor, line: bytes) -> bytes:
+    """The old process's answer to a line that it rejects."""
     path = folder / "refusing.sock"
-    giver = transfer.SnapshotSender(path, predecessor)
-    await giver.listen()
+    sender = transfer.SnapshotSender(path, predecessor)
+    await sender.listen()
     reader, writer = await asyncio.open_unix_connection(str(path))
     writer.write(line)
     answer = await reader.read()
     writer.close()
-    giver.close()
+    sender.close()
     return answer
 
 
-async def given_whole(folder: Path) -> list[bytes]:
-    """What the old process writes to a successor that asks, and to a second one meanwhile."""
+async def sender_lines(folder: Path) -> list[bytes]:
+    """The lines that the old process writes to a successor, and to a second one meanwhile."""
     path = folder / "giving.sock"
     predecessor = Predecessor()
-    giver = transfer.SnapshotSender(path, predecessor)
-    await giver.listen()
+    sender = transfer.SnapshotSender(path, predecessor)
+    await sender.listen()
     reader, writer = await asyncio.open_unix_connection(str(path))
     writer.write(b"TAKE 2\n")
     head = await reader.readline()
     body = await reader.readexactly(int(head.split()[-1]))
     second_reader, second_writer = await asyncio.open_unix_connection(str(path))
-    turned_away = await second_reader.read()
+    rejection = await second_reader.read()
     second_writer.close()
     writer.write(b"SERVING\n")
-    await predecessor.told.wait()
-    giver.close()
-    rest = await reader.read()
+    await predecessor.notified.wait()
+    sender.close()
+    remaining_bytes = await reader.read()
     writer.close()
     assert head + body == golden(STATE)
-    return [head, turned_away, rest]
+    return [head, rejection, remaining_bytes]
 
 
-async def said_by_taker(folder: Path) -> list[bytes]:
-    """What the new process writes, step by step, to an old one that gives the golden state."""
+async def receiver_lines(folder: Path) -> list[bytes]:
+    """The lines that the new process writes, step by step, to an old one that sends the golden state."""
     path = folder / "taking.sock"
-    said: list[bytes] = []
+    received: list[bytes] = []
 
-    async def give(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        said.append(await reader.readline())
+    async def serve_state(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        received.append(await reader.readline())
         writer.write(golden(STATE))
-        said.append(await reader.readline())
+        received.append(await reader.readline())
         writer.close()
 
-    server = await asyncio.start_unix_server(give, str(path))
+    server = await asyncio.start_unix_server(serve_state, str(path))
     ended = asyncio.Event()
-    taker = transfer.SnapshotReceiver(path)
-    handed = await taker.receive()
-    assert handed is not None and state_snapshot.encode(handed) == golden(STATE)
-    await taker.confirm_serving(ended.set)
+    receiver = transfer.SnapshotReceiver(path)
+    snapshot = await receiver.receive()
+    assert snapshot is not None and state_snapshot.encode(snapshot) == golden(STATE)
+    await receiver.confirm_serving(ended.set)
     await ended.wait()
     server.close()
-    return said
+    return received
 
 
-def exchanged(folder: Path) -> list[str]:
-    """Each line that goes over the connection, by who writes it."""
+def transfer_lines(folder: Path) -> list[str]:
+    """Each line on the connection, with the side that writes it."""
     lines: list[str] = [f"address: {transfer.socket_path('folder', '../n 0').as_posix()}"]
 
     async def record() -> None:
-        lines.extend(f"taker: {line!r}" for line in await said_by_taker(folder))
-        lines.extend(f"giver: {line!r}" for line in await given_whole(folder))
-        other_version = await refused_by_giver(folder, Predecessor(), b"TAKE 9\n")
+        lines.extend(f"taker: {line!r}" for line in await receiver_lines(folder))
+        lines.extend(f"giver: {line!r}" for line in await sender_lines(folder))
+        other_version = await sender_refusal(folder, Predecessor(), b"TAKE 9\n")
         lines.append(f"giver, other version: {other_version!r}")
-        ending = await refused_by_giver(folder, Predecessor("this process is closing"), b"TAKE 2\n")
+        ending = await sender_refusal(folder, Predecessor("this process is closing"), b"TAKE 2\n")
         lines.append(f"giver, ending: {ending!r}")
 
-    play(record)
+    run_test(record)
     return lines
 
 
@@ -209,19 +209,19 @@
 BODIES = ((b"abc", 1), (b"\0\0\0\0", 558161692), (b"\x90", 2425393296))
 
 
-def refusals() -> list[str]:
-    """What the reading of a state says of heads and bodies that are no state."""
-    told = []
+def parse_errors() -> list[str]:
+    """The errors for heads and bodies that are not a valid state."""
+    lines = []
     for head in HEADS:
         with pytest.raises(ValueError) as caught:
             state_snapshot.read_head(head)
-        told.append(f"head {head!r}: {caught.value}")
+        lines.append(f"head {head!r}: {caught.value}")
     for body, checksum in BODIES:
         with pytest.raises(ValueError) as caught:
             state_snapshot.decode(body, checksum)
-        told.append(f"body {body!r}: {caught.value}")
-    return told
+        lines.append(f"body {body!r}: {caught.value}")
+    return lines
 
 
 def test_the_lines_between_two_processes(tmp_path: Path) -> None:
-    assert_golden(LINES, text_lines(exchanged(tmp_path) + refusals()))
+    assert_golden(LINES, text_lines(transfer_lines(tmp_path) + parse_errors()))
--- a/tests/gateway/test_operations.py
+++ b/tests/gateway/test_operations.py
@@ -1,4 +1,4 @@
-"""Daily operations on real sockets: the second address, figures, and the drain."""
+"""Operations on real sockets: the admin address, metrics and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,10 +26,9 @@
     ShutdownState,
 )
 from badgeryoke.gateway.metrics import Metrics
-from badgeryoke.gateway.resp import client_connection as client_link_module
+from badgeryoke.gateway.resp import client_connection as client_connection_module
 from tests.decisions.test_simulator_adapter import PARAMS
-from tests.support.running import ask, until
-from tests.support.running import run_test as play
+from tests.support.running import ask, run_test, until
 from tests.support.stand_ins import (
     HOST,
     Backend,
@@ -45,22 +44,24 @@
 
 
 @asynccontextmanager
-async def operated(
+async def operated_gateway(
     script: list[bytes | None] | None = None, drain_s: float = 0.0, with_counter: bool = False
 ) -> AsyncIterator[tuple[GatewayApplication, Backend]]:
-    """A gateway with a second address before one backend."""
+    """A gateway with an admin address and one backend."""
     async with (
-        Backend(script=script) as node,
-        Discovery(entry("a", node.port)) as list_,
+        Backend(script=script) as backend,
+        Discovery(entry("a", backend.port)) as discovery,
         Counter() as counter,
     ):
-        made = config(list_.port, counter.port if with_counter else None, roster(entry("a", node.port)))
-        async with gateway(replace(made, mgmt=(HOST, 0), drain_s=drain_s)) as app:
-            yield app, node
+        gateway_config = config(
+            discovery.port, counter.port if with_counter else None, roster(entry("a", backend.port))
+        )
+        async with gateway(replace(gateway_config, mgmt=(HOST, 0), drain_s=drain_s)) as app:
+            yield app, backend
 
 
 async def call(app: GatewayApplication, line: bytes = b"STATUS\n", half_close: bool = False) -> list[str]:
-    """All lines of one answer, to the connection's end."""
+    """Send one admin call; returns all lines of the answer, up to the connection's end."""
     reader, writer = await connect(app.lifecycle.admin_address)
     writer.write(line)
     if half_close:
@@ -70,17 +71,17 @@
     return lines
 
 
-async def figures(app: GatewayApplication) -> dict[str, int]:
+async def read_metrics(app: GatewayApplication) -> dict[str, int]:
     first, *lines, last = await call(app, b"METRICS\n")
     assert (first, last) == ("+OK", ".")
     return {name: int(count) for name, count in (line.rsplit(" ", 1) for line in lines)}
 
 
-# The second address -----------------------------------------------------------------------------------
+# The admin address ------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
-    ("line", "begins"),
+    ("line", "prefix"),
     [
         (b"STATUS\n", "+OK"),
         (b"STATUS\r\n", "+OK"),
@@ -94,57 +95,57 @@
         (b"*1\r\n$4\r\nPING\r\n", "-ERR unknown"),
     ],
 )
-def test_each_admin_line_gets_one_response(line: bytes, begins: str) -> None:
+def test_each_admin_line_gets_one_response(line: bytes, prefix: str) -> None:
     async def test() -> None:
-        async with operated() as (app, _):
-            assert (await call(app, line))[0].startswith(begins)
-            if line.endswith(b"\n"):  # also to a caller that has closed its side behind the line
-                assert (await call(app, line, half_close=True))[0].startswith(begins)
+        async with operated_gateway() as (app, _):
+            assert (await call(app, line))[0].startswith(prefix)
+            if line.endswith(b"\n"):  # also for a caller that closes its side after the line
+                assert (await call(app, line, half_close=True))[0].startswith(prefix)
 
-    play(test)
+    run_test(test)
 
 
-def test_callers_that_finish_no_call_hold_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_callers_with_unfinished_calls_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_server, "MAX_CONNECTIONS", 4)
 
     async def test() -> None:
-        async with operated() as (app, _):
+        async with operated_gateway() as (app, _):
             idle = [await connect(app.lifecycle.admin_address) for _ in range(4)]
             idle[3][1].write(b"STAT")
             assert (await call(app))[0] == "+OK serving"
-            assert await idle[0][0].read() == b""  # the oldest gave way
+            assert await idle[0][0].read() == b""  # the oldest was closed
             idle[3][1].write(b"US\n")
             assert (await idle[3][0].read()).startswith(b"+OK")
             for _, writer in idle:
                 writer.close()
 
-    play(test)
+    run_test(test)
 
 
 def test_status_is_an_error_until_an_endpoint_list_is_known_and_while_ending() -> None:
     async def test() -> None:
-        async with Discovery() as list_:
-            list_.raw = [b"no list"]
-            async with gateway(replace(config(list_.port, None), mgmt=(HOST, 0), drain_s=0.05)) as app:
+        async with Discovery() as discovery:
+            discovery.raw = [b"no list"]
+            async with gateway(replace(config(discovery.port, None), mgmt=(HOST, 0), drain_s=0.05)) as app:
                 assert await call(app) == ["-ERR no list of servers yet"]
                 app.end()
                 assert await call(app) == ["-ERR leaving"]
                 assert (await call(app, b"RESUME\n"))[0].startswith("-ERR")
 
-    play(test)
+    run_test(test)
 
 
 @pytest.mark.parametrize(
-    ("mgmt", "words"),
+    ("mgmt", "message"),
     [("nowhere", "mgmt: expected IP:PORT"), (f"{HOST}:6379", "mgmt: the same address as listen")],
 )
-def test_a_faulty_admin_address_names_its_key(mgmt: str, words: str, tmp_path: Path) -> None:
+def test_a_faulty_admin_address_names_its_key(mgmt: str, message: str, tmp_path: Path) -> None:
     raw = {"listen": f"{HOST}:6379", "discovery": f"{HOST}:1", "counter": f"{HOST}:1", "settings": PARAMS}
     path = tmp_path / "config.json"
     path.write_text(json.dumps({**raw, "mgmt": mgmt}))
-    with pytest.raises(ConfigError, match=words):
+    with pytest.raises(ConfigError, match=message):
         read_config({"LB_CONFIG": str(path)}, tmp_path)
-    with pytest.raises(ConfigError, match=words.replace("mgmt", "LB_MGMT")):
+    with pytest.raises(ConfigError, match=message.replace("mgmt", "LB_MGMT")):
         read_config({"LB_CONFIG": str(path), "LB_MGMT": mgmt}, tmp_path)
     path.write_text(json.dumps(raw))
     assert read_config({"LB_CONFIG": str(path)}, tmp_path).mgmt is None
@@ -154,67 +155,67 @@
         read_config({"LB_CONFIG": str(path), "LB_SOCKET_FD": str(not_listening.fileno())}, tmp_path)
 
 
-# Figures ----------------------------------------------------------------------------------------------
+# Metrics ----------------------------------------------------------------------------------------------
 
 
 def test_labels_are_escaped_and_a_dropped_class_keeps_its_counts() -> None:
-    made = Metrics(['a"\n\\'])
-    made.add_classes(["b"])
-    text = render_metrics(made, Gauges(1, 2, 3))
+    metrics = Metrics(['a"\n\\'])
+    metrics.add_classes(["b"])
+    text = render_metrics(metrics, Gauges(1, 2, 3))
     assert 'lb_downstream_requests{lane="a\\"\\n\\\\",result="completed"} 0\n' in text
     assert 'lane="b"' in text and "\nlb_pending 1\nlb_members 2\nlb_members_unavailable 3\n" in text
 
 
 def test_each_result_of_a_request_is_counted_once() -> None:
-    """Served, refused for a quota, failed after an error and after a reset: what stand-ins saw and what the
-    figures say are equal."""
+    """Served, rejected by the quota, failed after an error and after a reset: the metrics equal the counts of the
+    stand-in servers and clients."""
 
     async def test() -> None:
         script = [None, b"-ERR failed\r\n", b"RESET"]
-        async with operated(script=script) as (app, node):
+        async with operated_gateway(script=script) as (app, backend):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("open", "load-send", key="k0"))
-            await until(lambda: len(node.commands) == 1)
-            assert (await figures(app))["lb_pending"] == 1
+            await until(lambda: len(backend.commands) == 1)
+            assert (await read_metrics(app))["lb_pending"] == 1
             answers = [await ask(app, query(f"f{n}", "load-send", key=f"k{n}")) for n in (1, 2)]
             answers += [await ask(app, query(f"s{n}")) for n in range(3)]
             answers.append(await ask(app, query("big", units=6, plan="small", customer=9)))
             answers.append(await ask(app, query("over", units=6, plan="small", customer=9)))
             answers.append(await ask(app, query("over2", units=6, plan="small", customer=9)))
-            node.writers[0].write(b"*1\r\n$1\r\nv\r\n")
+            backend.writers[0].write(b"*1\r\n$1\r\nv\r\n")
             assert await reader.readexactly(7) == b"$1\r\nv\r\n"
             writer.close()
-            got = await figures(app)
-            flat = [str(one) for answer in answers for one in answer]
-            served = sum("value" in one for one in flat) + 1
-            refused = sum("BUSY" in one for one in flat)
-            by_result = {
+            metrics = await read_metrics(app)
+            flat_responses = [str(item) for answer in answers for item in answer]
+            served = sum("value" in item for item in flat_responses) + 1
+            rejected = sum("BUSY" in item for item in flat_responses)
+            counts_by_result = {
                 result: sum(
-                    got[f'lb_downstream_requests{{lane="{lane}",result="{result}"}}']
+                    metrics[f'lb_downstream_requests{{lane="{lane}",result="{result}"}}']
                     for lane in ("balance-check", "load-send")
                 )
                 for result in ("completed", "rejected", "failed")
             }
-            assert by_result == {
+            assert counts_by_result == {
                 "completed": served,
-                "rejected": refused,
-                "failed": len(flat) + 1 - served - refused,
+                "rejected": rejected,
+                "failed": len(flat_responses) + 1 - served - rejected,
             }
-            assert by_result["rejected"] >= 1
-            assert got["lb_upstream_requests"] == len(node.commands)
-            assert (got["lb_pending"], got["lb_members"]) == (0, 1)
+            assert counts_by_result["rejected"] >= 1
+            assert metrics["lb_upstream_requests"] == len(backend.commands)
+            assert (metrics["lb_pending"], metrics["lb_members"]) == (0, 1)
 
-    play(test)
+    run_test(test)
 
 
-# The drain --------------------------------------------------------------------------------------------
+# Shutdown ---------------------------------------------------------------------------------------------
 
 
 def test_graceful_shutdown_ends_once_from_every_state() -> None:
-    """Whatever came before, SIGTERM and its timers lead to the end; and nothing leads back from there."""
+    """From every state SIGTERM and its timers lead to the end, from which no event leads back."""
     for start in ShutdownState:
-        drain = GracefulShutdown()
-        drain.state = start
+        shutdown = GracefulShutdown()
+        shutdown.state = start
         for event in (
             ShutdownEvent.PAUSE,
             ShutdownEvent.TERMINATE,
@@ -225,43 +226,47 @@
             ShutdownEvent.RESUME,
             ShutdownEvent.USAGE_REPORTED,
         ):
-            drain.post(event)
-        assert drain.state is ShutdownState.ENDED and drain.ending
-    leaves = {state for state, event in TRANSITIONS if ShutdownEffect.EXIT in TRANSITIONS[state, event][1]}
-    assert leaves == {ShutdownState.DRAINING, ShutdownState.REPORTING}
+            shutdown.post(event)
+        assert shutdown.state is ShutdownState.ENDED and shutdown.ending
+    final_states = {
+        state for state, event in TRANSITIONS if ShutdownEffect.EXIT in TRANSITIONS[state, event][1]
+    }
+    assert final_states == {ShutdownState.DRAINING, ShutdownState.REPORTING}
 
 
 def test_a_timer_of_an_earlier_generation_does_nothing() -> None:
-    drain = GracefulShutdown()
-    drain.post(ShutdownEvent.PAUSE)
-    old = drain.generation
-    drain.post(ShutdownEvent.RESUME)
-    drain.post(ShutdownEvent.PAUSE)
-    assert drain.post(ShutdownEvent.NOTICE_ELAPSED, old) == ()
-    assert drain.post(ShutdownEvent.NOTICE_ELAPSED, drain.generation) == (ShutdownEffect.CLOSE_CONNECTIONS,)
-    assert drain.post(ShutdownEvent.PAUSE) == () and drain.state.value == "drained"
+    shutdown = GracefulShutdown()
+    shutdown.post(ShutdownEvent.PAUSE)
+    old = shutdown.generation
+    shutdown.post(ShutdownEvent.RESUME)
+    shutdown.post(ShutdownEvent.PAUSE)
+    assert shutdown.post(ShutdownEvent.NOTICE_ELAPSED, old) == ()
+    assert shutdown.post(ShutdownEvent.NOTICE_ELAPSED, shutdown.generation) == (
+        ShutdownEffect.CLOSE_CONNECTIONS,
+    )
+    assert shutdown.post(ShutdownEvent.PAUSE) == () and shutdown.state.value == "drained"
 
 
 def test_pause_closes_connections_between_requests_and_resume_accepts_again() -> None:
     async def test() -> None:
-        async with operated(script=[None], drain_s=0.05) as (app, node):
+        async with operated_gateway(script=[None], drain_s=0.05) as (app, backend):
             busy_reader, busy = await connect(app.lifecycle.address)
             busy.write(query("open"))
             idle_reader, idle = await connect(app.lifecycle.address)
             idle.write(b"*1\r\n$4\r\nPING\r\n")
             assert await idle_reader.readline() == b"+PONG\r\n"
-            await until(lambda: node.commands)
+            await until(lambda: backend.commands)
             assert await call(app, b"PAUSE\n") == ["+OK"]
             assert await call(app, b"PAUSE\n") == ["+OK"]  # harmless
             idle.write(b"*1\r\n$4\r\nPING\r\n")
             assert (await idle_reader.readline()).startswith(b"-ERR")
             idle.write(query("still"))
-            assert await idle_reader.readexactly(11) == b"$5\r\nvalue\r\n"  # clients go on for a while
+            assert await idle_reader.readexactly(11) == b"$5\r\nvalue\r\n"  # clients may continue for a while
             assert await idle_reader.read() == b""
             assert await call(app) == ["+OK drained"]
-            node.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
-            assert await busy_reader.read() == b"$4\r\nlast\r\n"  # its answer, then the end
-            assert await ask(app, query("late")) == [b"value"]  # a straggler gets one answer, then the end
+            backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
+            assert await busy_reader.read() == b"$4\r\nlast\r\n"  # its response, then the connection's end
+            assert await ask(app, query("late")) == [b"value"]  # a late client gets one response
             assert await call(app, b"RESUME\n") == ["+OK"]
             back_reader, back = await connect(app.lifecycle.address)
             for n in range(2):
@@ -270,19 +275,19 @@
             for writer in (busy, idle, back):
                 writer.close()
 
-    play(test)
+    run_test(test)
 
 
 def test_a_client_that_never_stops_sending_is_closed_after_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(client_link_module, "DRAIN_GRACE_S", 0.1)
+    monkeypatch.setattr(client_connection_module, "DRAIN_GRACE_S", 0.1)
 
     async def test() -> None:
-        async with operated() as (app, _):
+        async with operated_gateway() as (app, _):
             reader, writer = await connect(app.lifecycle.address)
 
-            async def asking() -> int:
+            async def send_requests() -> int:
                 sent = 0
                 while not reader.at_eof():
                     writer.write(query(f"q{sent}") + query(f"q{sent + 1}"))
@@ -290,62 +295,62 @@
                     await asyncio.sleep(0)
                 return sent
 
-            asks = asyncio.ensure_future(asking())
+            sending = asyncio.ensure_future(send_requests())
             await until(lambda: app.parts.dispatcher.metrics.finished["balance-check"][0] > 3)
             await call(app, b"PAUSE\n")
             read = await reader.read()
-            asks.cancel()
+            sending.cancel()
             writer.close()
             assert re.fullmatch(rb"(\$5\r\nvalue\r\n|-BUSY \d+\r\n)+", read)  # whole answers alone
             assert app.parts.dispatcher.unanswered == 0
 
-    play(test)
+    run_test(test)
 
 
 def test_sigterm_while_paused_and_pause_while_ending() -> None:
     async def test() -> None:
-        async with operated(drain_s=0.05) as (app, _):
+        async with operated_gateway(drain_s=0.05) as (app, _):
             await call(app, b"PAUSE\n")
             app.end()
             assert await call(app, b"PAUSE\n") == ["+OK"]
             assert (await call(app, b"RESUME\n"))[0].startswith("-ERR it is leaving")
             await app.done.wait()
 
-    play(test)
+    run_test(test)
 
 
 def test_a_request_behind_a_long_one_gets_its_response_while_the_gateway_ends(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Read and dropped where the connection had stayed open for longer than it takes queries."""
-    monkeypatch.setattr(client_link_module, "DRAIN_GRACE_S", 0.05)
+    """Regression: such a request was read and dropped if the connection stayed open after the drain grace period."""
+    monkeypatch.setattr(client_connection_module, "DRAIN_GRACE_S", 0.05)
 
     async def test() -> None:
-        async with operated(script=[None], drain_s=0.05) as (app, node):
+        async with operated_gateway(script=[None], drain_s=0.05) as (app, backend):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("long"))
-            await until(lambda: node.commands)
-            [link] = app.parts.resp_listener.links
+            await until(lambda: backend.commands)
+            [connection] = app.parts.resp_listener.links
             app.end()
-            await until(lambda: link._closing)
+            await until(lambda: connection._closing)
             writer.write(query("behind"))
-            await until(lambda: len(link._slots) == 2)
-            node.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
+            await until(lambda: len(connection._slots) == 2)
+            backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
             assert await reader.read() == b"$4\r\nlast\r\n-BUSY 1\r\n"
 
-    play(test)
+    run_test(test)
 
 
 def test_a_long_idle_connection_is_closed_completely_so_that_nothing_is_read_and_dropped() -> None:
     async def test() -> None:
-        async with operated(drain_s=0.05) as (app, _):
+        async with operated_gateway(drain_s=0.05) as (app, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query())
             assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
-            [link] = app.parts.resp_listener.links
-            link._last_write_s -= client_link_module.LINGER_S
+            [connection] = app.parts.resp_listener.links
+            connection._last_write_s -= client_connection_module.LINGER_S
             app.end()
-            assert await reader.read() == b"" and link._stream.closed()
+            assert await reader.read() == b"" and connection._stream.closed()
             writer.close()
 
-    play(test)
+    run_test(test)
