--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -23,7 +23,7 @@
 from badgeryoke.gateway.config.errors import ConfigError
 from badgeryoke.gateway.config.model import Config
 from badgeryoke.gateway.config.platform_file import read_config
-from tests.gateway.test_reload import at
+from tests.gateway.test_reload import changed_file
 from tests.support.paths import ROOT
 from tests.support.running import ask, until
 from tests.support.running import run_test as play
@@ -229,15 +229,15 @@
     for again in (False, True):
         for value in wrong:
             if path in ("feedback.fields", "contracts") and value == []:
-                read(tmp_path, at(FULL, path, value), again)
+                read(tmp_path, changed_file(FULL, path, value), again)
                 continue  # reports that name nothing; nobody has a plan
             with pytest.raises(ConfigError) as caught:
-                read(tmp_path, at(FULL, placed(path), value), again)
+                read(tmp_path, changed_file(FULL, placed(path), value), again)
             fault = str(caught.value)  # of an object or a list it may be a key inside
             assert (
                 fault.startswith(told(path)[:-1]) and fault[len(told(path)) - 1] in ":.[" and len(fault) < 250
             )
-        without = at(FULL, placed(path))
+        without = changed_file(FULL, placed(path))
         if path in MAY_LACK:
             if path != "contracts.cap_depth":
                 read(tmp_path, without, again)
@@ -293,7 +293,7 @@
 )
 def test_a_setting_out_of_its_range_is_named(path: str, value: object, tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as caught:
-        read(tmp_path, at(FULL, placed(path), value))
+        read(tmp_path, changed_file(FULL, placed(path), value))
     assert str(caught.value).startswith(told(path)) and len(str(caught.value)) < 250
 
 
@@ -315,21 +315,32 @@
         4,
     )
     assert (made.connect_ms, made.idle_ms, made.report_names) == (400.0, 45_000.0, ("q", "busy"))
-    other = at(at(at(FULL, "feedback.how", "probe"), "family_info.has_counter", False), "zone", "")
-    made = read(tmp_path, at(other, "tiers", ["front", "middle", "back"]))
+    other = changed_file(
+        changed_file(changed_file(FULL, "feedback.how", "probe"), "family_info.has_counter", False),
+        "zone",
+        "",
+    )
+    made = read(tmp_path, changed_file(other, "tiers", ["front", "middle", "back"]))
     assert (made.report_names, made.settings.has_counter, made.settings.zone) == ((), False, "")
     assert made.settings.counter_timeout_ms == 0.0
     assert (
-        read(tmp_path, at(at(other, "zones", []), "discovery", "automatic")).settings.must_subscribe is False
+        read(
+            tmp_path, changed_file(changed_file(other, "zones", []), "discovery", "automatic")
+        ).settings.must_subscribe
+        is False
     )
-    assert read(tmp_path, at(at(other, "zones", []), "zone")).settings.zone == ""  # a site without zones
+    assert (
+        read(tmp_path, changed_file(changed_file(other, "zones", []), "zone")).settings.zone == ""
+    )  # a site without zones
 
 
 def test_a_key_that_no_page_names_is_told_and_no_fault(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     assert unknown_keys(FULL) == []
-    strange = at(at(at(FULL, "clases", []), "classes.1.windows_ms", 1), "rules.fall_times", 2)
+    strange = changed_file(
+        changed_file(changed_file(FULL, "clases", []), "classes.1.windows_ms", 1), "rules.fall_times", 2
+    )
     caplog.set_level(logging.WARNING)
     assert read(tmp_path, strange).settings == parse_settings(FULL)
     assert caplog.messages == [
@@ -343,7 +354,7 @@
 def test_a_process_with_a_faulty_file_ends_with_one_line(tmp_path: Path) -> None:
     for path, value in (("classes.slo_ms", 0), ("feedback.fields", 5)):
         with pytest.raises(ConfigError):
-            read(tmp_path, at(FULL, placed(path), value))
+            read(tmp_path, changed_file(FULL, placed(path), value))
         ended = subprocess.run(
             [sys.executable, "-m", "badgeryoke"],
             cwd=ROOT,
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -46,7 +46,7 @@
 }
 
 
-def at(raw: dict[str, Any], path: str, value: object = None) -> dict[str, Any]:
+def changed_file(raw: dict[str, Any], path: str, value: object = None) -> dict[str, Any]:
     """A copy of the file with one value changed, or its key removed."""
     changed = copy.deepcopy(raw)
     *parents, last = path.split(".")
@@ -66,7 +66,7 @@
     path: str, value: object, tmp_path: Path
 ) -> None:
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(at(RAW, path, value)).replace('"NaN"', "NaN"))
+    file.write_text(json.dumps(changed_file(RAW, path, value)).replace('"NaN"', "NaN"))
     with pytest.raises(ConfigError, match=path.rsplit(".", 1)[1] + "|not JSON"):
         read_config({"LB_CONFIG": str(file)}, tmp_path, again=True)
 
@@ -93,7 +93,7 @@
     ],
 )
 def test_a_file_that_lacks_a_key_is_rejected_naming_the_key(path: str) -> None:
-    missing = first_missing_key(shape_of(RAW), shape_of(at(RAW, path)))
+    missing = first_missing_key(shape_of(RAW), shape_of(changed_file(RAW, path)))
     assert missing == ".".join(part for part in path.split(".") if not part.isdigit())
     assert first_missing_key(shape_of(RAW), shape_of({**RAW, "more": 1})) is None
     assert first_missing_key(shape_of({**RAW, "known": {"version": 1}}), shape_of(RAW)) is None
