--- a/badgeryoke/gateway/application.py
+++ b/badgeryoke/gateway/application.py
@@ -85,12 +85,12 @@
         return self.parts.dispatcher.unanswered
 
     def pause(self) -> str:
-        """Reject clients while the process runs on; returns the reason if that is impossible, else ""."""
+        """Reject clients while the process runs on; returns the reason if that is impossible, or an empty string."""
         self.lifecycle.post(ShutdownEvent.PAUSE)
         return ""
 
     def resume(self) -> str:
-        """Accept clients again; returns the reason if that is impossible, else ""."""
+        """Accept clients again; returns the reason if that is impossible, or an empty string."""
         shutdown = self.lifecycle.shutdown
         if shutdown.ending:
             return f"it is {shutdown.state.value}, and does not come back"
--- a/badgeryoke/gateway/discovery/backoff.py
+++ b/badgeryoke/gateway/discovery/backoff.py
@@ -65,7 +65,7 @@
         return SILENCE_PAUSE_S * self._draw()
 
     def pause_after_failure_s(self) -> float:
-        """The pause after a poll that was rejected, answered malformed, or lost with its connection."""
+        """The pause after a poll that was rejected, got a malformed answer, or lost its connection."""
         pause_s = self._pause_s * (MIN_JITTER + self._draw())
         self._pause_s = min(self._pause_s * BACKOFF_MULTIPLIER, self.longest_pause_s)
         if self.silent_polls:
