--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -223,7 +223,9 @@
                 lease_number=number,
             )
             for name, contract in self.contracts.items()
-            for holder, number in contract.pool.expired(view.now, self._timings.lease_expiry_ms(), view.leader_since_ms)
+            for holder, number in contract.pool.expired(
+                view.now, self._timings.lease_expiry_ms(), view.leader_since_ms
+            )
         ]
 
     def _notify_drained(self, now: float) -> list[Command]:
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -1277,7 +1277,9 @@
         **overrides,
     }
     return restarts.leader_tasks(
-        LeaderView(now=wall, wall=wall, member_id="d/1", leader_since_ms=0.0, timings=Timings(), load={}, **fields)
+        LeaderView(
+            now=wall, wall=wall, member_id="d/1", leader_since_ms=0.0, timings=Timings(), load={}, **fields
+        )
     )
 
 
@@ -1751,7 +1753,9 @@
                 self.client.answered(
                     now,
                     command,
-                    self.registry.query(command) if command.is_read_only else self.registry.apply(now, command),
+                    self.registry.query(command)
+                    if command.is_read_only
+                    else self.registry.apply(now, command),
                 )
         return commands
 
--- a/tests/cluster/test_rolling_restart.py
+++ b/tests/cluster/test_rolling_restart.py
@@ -311,7 +311,9 @@
             name: GatewayProgress(GatewayPhase.EMPTYING, report=GatewayReport.EMPTY) for name in ("g0", "g1")
         },
     )
-    view = leader_view(0.0, 0.0, alive_ids=frozenset(("g0/1", "g1/1", "g2/1")), zones=ONE_ZONE, voters_by_group=VOTERS)
+    view = leader_view(
+        0.0, 0.0, alive_ids=frozenset(("g0/1", "g1/1", "g2/1")), zones=ONE_ZONE, voters_by_group=VOTERS
+    )
     stale = msgspec.structs.replace(restarts.leader_tasks(view)[0], gateway="g1")
     (event,) = restarts.leader_tasks(view)
     assert restarts.apply(0.0, event).error is None
