--- a/badgeryoke/gateway/lifecycle.py
+++ b/badgeryoke/gateway/lifecycle.py
@@ -188,14 +188,14 @@
         self._listen()
         self.snapshot_sender = transfer.SnapshotSender(path, self)
         await self.snapshot_sender.listen()
-        await receiver.confirm_serving(lambda: parts.resp_listener.share(1.0))
+        await receiver.confirm_serving(lambda: parts.resp_listener.limit_connections(1.0))
 
     async def _restore_from(self, receiver: SnapshotReceiver) -> None:
         parts = self._parts
         if (snapshot := await receiver.receive()) is None:
             return
         parts.dispatcher.restore_snapshot(snapshot, parts.discovery.numbers)
-        parts.resp_listener.share(OVERLAP_CLIENTS_FRACTION)
+        parts.resp_listener.limit_connections(OVERLAP_CLIENTS_FRACTION)
         if parts.connection_leases is not None:
             parts.connection_leases.only_process = False  # the predecessor answers what it has accepted
         log.info("state restored: %d customers, %d servers", len(snapshot.customers), len(snapshot.servers))
@@ -254,7 +254,7 @@
             case ShutdownEffect.CLOSE_CONNECTIONS:
                 self._close_connections()
             case ShutdownEffect.KEEP_CONNECTIONS:
-                self._parts.resp_listener.keep_links()
+                self._parts.resp_listener.keep_connections()
             case ShutdownEffect.STOP_ACCEPTING:
                 self._stop_accepting()
             case ShutdownEffect.AWAIT_REQUESTS:
@@ -265,12 +265,12 @@
                 self._exit()
 
     def _set_rejecting(self, rejecting: bool) -> None:
-        self._parts.resp_listener.turning = rejecting
+        self._parts.resp_listener.reports_not_ready = rejecting
         if self._parts.diameter_listener is not None:
             self._parts.diameter_listener.draining = rejecting
 
     def _close_connections(self) -> None:
-        self._parts.resp_listener.close_links()
+        self._parts.resp_listener.drain_connections()
         if self._parts.diameter_listener is not None:
             for peer in list(self._parts.diameter_listener.connections):
                 peer.drain()
@@ -284,7 +284,7 @@
         loop = self._parts.loop
         counted_s = min(self._parts.longest_deadline_ms / 1000.0, MAX_COUNTED_DEADLINE_S) + KILL_MARGIN_S
         remaining_s = max(self._terminated_at_s + counted_s - loop.time(), 0.0)
-        loop.call_later(remaining_s, self._parts.resp_listener.refuse_rest)
+        loop.call_later(remaining_s, self._parts.resp_listener.reject_new_requests)
         loop.call_later(remaining_s, self._answer_all_now)
         self._poll_connections()
 
@@ -301,7 +301,7 @@
 
     def _poll_connections(self) -> None:
         diameter = self._parts.diameter_listener
-        if self._parts.resp_listener.links or (diameter is not None and diameter.connections):
+        if self._parts.resp_listener.connections or (diameter is not None and diameter.connections):
             self._parts.loop.call_later(POLL_INTERVAL_S, self._poll_connections)
             return
         self.post(ShutdownEvent.ALL_ANSWERED)
--- a/badgeryoke/gateway/quota_counter/connection.py
+++ b/badgeryoke/gateway/quota_counter/connection.py
@@ -63,7 +63,7 @@
         """Start to connect; raises OSError where no socket can be made."""
         self.address = address
         self.in_flight: deque[CounterCall] = deque()  # given to the stream: some of them may be sent
-        self.parser = RespParser(max_items=1, max_depth=1, max_line=MAX_REPLY_LINE_BYTES)
+        self.parser = RespParser(max_items=1, max_depth=1, max_line_bytes=MAX_REPLY_LINE_BYTES)
         self.established = self.has_answered = False
         self.last_read_at_ms = self.established_at_ms = 0.0
         self.stream, connected = dial(address, MAX_BUFFERED_BYTES)
--- a/badgeryoke/gateway/resp/client_connection.py
+++ b/badgeryoke/gateway/resp/client_connection.py
@@ -156,7 +156,7 @@
         super().__init__(loop)
         self._stream, self._dispatcher, self._is_ready, self._on_closed = stream, core, ready, closed
         self._parser = RespParser(
-            max_items=5, max_depth=1, max_total=MAX_BULK_BYTES + 2 * MAX_FIELD_LIST_BYTES
+            max_items=5, max_depth=1, max_array_bytes=MAX_BULK_BYTES + 2 * MAX_FIELD_LIST_BYTES
         )
         self._malformed_count = 0
         self._slots: deque[_ResponseSlot] = deque()
@@ -170,7 +170,7 @@
         self._may_read = asyncio.Event()
         self.has_sent_command = False  # a complete command has been received
         self.idle_since_s = loop.time()  # when it last had a request in flight, or was opened
-        self.unfetched_since_s = math.inf  # since when responses wait for the client to fetch them
+        self.write_stalled_since_s = math.inf  # since when responses wait for the client to fetch them
         self.opened_at_s = self.idle_since_s
         self._draining = False  # it closes between requests
         # Start of the command being received; the first command counts from the start of the connection.
@@ -202,10 +202,10 @@
     @property
     def buffered_bytes(self) -> int:
         """Bytes buffered of an incomplete command and of unfetched responses."""
-        return self._parser.buffered_bytes + self.unfetched_bytes
+        return self._parser.buffered_bytes + self.unsent_response_bytes
 
     @property
-    def unfetched_bytes(self) -> int:
+    def unsent_response_bytes(self) -> int:
         """Bytes of responses that wait for the client, or for a response ahead of them."""
         return self._unsent_bytes + sum(len(slot.reply) for slot in self._slots if slot.reply)
 
@@ -366,9 +366,9 @@
                 return
         self.idle_since_s = self._loop.time()
         if not self._stream.writing():
-            self.unfetched_since_s = math.inf
-        elif self.unfetched_since_s == math.inf or out:
-            self.unfetched_since_s = self.idle_since_s
+            self.write_stalled_since_s = math.inf
+        elif self.write_stalled_since_s == math.inf or out:
+            self.write_stalled_since_s = self.idle_since_s
         if len(slots) < MAX_PIPELINED_REQUESTS:
             self._may_read.set()
         if (self._closing or (self._draining and self.has_sent_command)) and not slots:
@@ -379,7 +379,7 @@
         """Account for a finished write; also retrieves the exception of a write cut short by a close."""
         self._unsent_bytes -= size
         if not done.cancelled() and done.exception() is None:
-            self.unfetched_since_s = self._loop.time() if self._unsent_bytes else math.inf
+            self.write_stalled_since_s = self._loop.time() if self._unsent_bytes else math.inf
             if self._closing or (self._slots and self._slots[0].reply is not None):
                 self.deliver(self._wake_up)
 
--- a/badgeryoke/gateway/resp/codec.py
+++ b/badgeryoke/gateway/resp/codec.py
@@ -39,23 +39,27 @@
 
     def __init__(
         self,
-        max_bulk: int = MAX_BULK_BYTES,
+        max_bulk_bytes: int = MAX_BULK_BYTES,
         max_items: int = 16,
         max_depth: int = 2,
-        max_line: int = 1024,
-        max_total: int = 2 * MAX_BULK_BYTES,
-        max_long: int = 0,
+        max_line_bytes: int = 1024,
+        max_array_bytes: int = 2 * MAX_BULK_BYTES,
+        max_streamed_bytes: int = 0,
     ) -> None:
-        self._max_bulk, self._max_items = max_bulk, max_items
-        self._max_depth, self._max_line, self._max_total = max_depth, max_line, max_total
+        self._max_bulk_bytes, self._max_items = max_bulk_bytes, max_items
+        self._max_depth, self._max_line_bytes, self._max_array_bytes = (
+            max_depth,
+            max_line_bytes,
+            max_array_bytes,
+        )
         self._buffer = bytearray()
         self._bulk_length: int | None = None  # length of the bulk string being parsed
         self._open_arrays: list[tuple[int, list[Value]]] = []  # incomplete arrays, each with its item count
         self._array_bytes = 0  # bytes of bulk strings in the array being parsed
         self._scanned = 0  # bytes of the buffer known to contain no line end
         self.fault = ""
-        # Streamed value: the first item of an outermost array, longer than max_bulk and up to max_long.
-        self._max_streamed_bytes = max_long
+        # Streamed value: the first item of an outermost array, longer than max_bulk_bytes and up to max_streamed_bytes.
+        self._max_streamed_bytes = max_streamed_bytes
         self._stream_remaining: int | None = None  # bytes of it not yet received
         self.stream_length = 0  # its length, from its header until reset_stream()
         self.stream_complete = False  # its line end has been received
@@ -111,7 +115,11 @@
                     return taken
                 at = end + 2 + int(length)
                 total += int(length)
-                if int(length) > self._max_bulk or total > self._max_total or data[at : at + 2] != b"\r\n":
+                if (
+                    int(length) > self._max_bulk_bytes
+                    or total > self._max_array_bytes
+                    or data[at : at + 2] != b"\r\n"
+                ):
                     return taken
                 words.append(data[end + 2 : at])
                 at += 2
@@ -145,7 +153,7 @@
                 self._bulk_length, at = None, end + 2
             else:
                 end = buffer.find(b"\r\n", max(at, self._scanned))
-                if end - at > self._max_line or (end < 0 and len(buffer) - at > self._max_line):
+                if end - at > self._max_line_bytes or (end < 0 and len(buffer) - at > self._max_line_bytes):
                     raise _ProtocolError("line too long")
                 if end < 0:
                     self._check_partial_line(bytes(buffer[at : at + MAX_NUMBER_DIGITS + 2]))
@@ -155,15 +163,19 @@
                 self._scanned = at
                 if kind == b"$":
                     first = len(self._open_arrays) == 1 and not self._open_arrays[0][1]
-                    most = self._max_streamed_bytes if first and self._max_streamed_bytes else self._max_bulk
+                    most = (
+                        self._max_streamed_bytes
+                        if first and self._max_streamed_bytes
+                        else self._max_bulk_bytes
+                    )
                     length = self._parse_length(line, most)
-                    if length > self._max_bulk:
+                    if length > self._max_bulk_bytes:
                         self.stream_length = self._stream_remaining = length
                         continue
                     if length >= 0:
                         # The sum is bounded too: many strings at the bound would be buffered until the last one.
                         self._array_bytes = self._array_bytes + length if self._open_arrays else length
-                        if self._array_bytes > self._max_total:
+                        if self._array_bytes > self._max_array_bytes:
                             raise _ProtocolError("too large as a whole")
                         self._bulk_length = length
                         continue
--- a/badgeryoke/gateway/resp/listener.py
+++ b/badgeryoke/gateway/resp/listener.py
@@ -25,7 +25,7 @@
 # idle first, so that many idle clients cannot use up the whole bound and lock others out.
 MIN_IDLE_WHEN_CROWDED_S = 0.3
 MAX_READ_BUFFER_BYTES = 128 * 1024  # bound of data read from a client and not yet handled
-UNFETCHED_TIMEOUT_S = 2.5  # for a client to fetch its responses, ...
+WRITE_STALL_TIMEOUT_S = 2.5  # for a client to fetch its responses, ...
 STREAM_STALL_TIMEOUT_S = 10.0  # ... and each chunk of a streamed value
 BACKLOG = 512  # length of the kernel's accept queue
 MAX_ACCEPTS_PER_TURN = 64  # before other work has its turn
@@ -53,16 +53,18 @@
             most,
             max(int(most * REJECTED_CONNECTIONS_FRACTION), MIN_REJECTED_CONNECTIONS),
         )
-        self.links: dict[RespClientConnection, asyncio.Future[None] | None] = {}  # each with its reading task
+        self.connections: dict[
+            RespClientConnection, asyncio.Future[None] | None
+        ] = {}  # each with its reading task
         self._listening_sockets: list[socket.socket] = []
         self._paused = False
-        self.turning = False  # PING answers "not ready", so that clients go elsewhere
+        self.reports_not_ready = False  # PING answers "not ready", so that clients go elsewhere
         self._draining = False  # connections close between requests, new ones after their first
         self._saturation_logged = False
 
     def ready(self) -> bool:
         """Whether PING answers that this gateway takes requests."""
-        return self._discovery.ready and not self.turning
+        return self._discovery.ready and not self.reports_not_ready
 
     def add_sockets(self, sockets: list[socket.socket]) -> None:
         """Accept connections on these sockets."""
@@ -94,7 +96,7 @@
         """Accept waiting connections within the bound, or all of them when the listener stops."""
         for _ in range(2 * BACKLOG if last else MAX_ACCEPTS_PER_TURN):
             if (
-                len(self.links) >= self._max_connections + self._max_rejected_connections
+                len(self.connections) >= self._max_connections + self._max_rejected_connections
                 and not last
                 and not self._evict_idle_connection(MIN_EVICTION_IDLE_S)
             ):
@@ -119,41 +121,41 @@
             client_socket, max_buffer_size=MAX_READ_BUFFER_BYTES, read_chunk_size=READ_CHUNK_BYTES
         )
         stream.set_nodelay(True)
-        full = len(self.links) >= self._max_connections and not self._evict_idle_connection(
+        full = len(self.connections) >= self._max_connections and not self._evict_idle_connection(
             MIN_EVICTION_IDLE_S
         )
         connection = RespClientConnection(
             stream, self._dispatcher, self._loop, self.ready, self._connection_closed
         )
-        self.links[connection] = None  # registered first, so that shutdown waits for it
+        self.connections[connection] = None  # registered first, so that shutdown waits for it
         if full:
-            self._log_saturation_once(f"{len(self.links)} connections are open and in use")
+            self._log_saturation_once(f"{len(self.connections)} connections are open and in use")
             connection.reject()
         elif self._draining:
             connection.drain()
-        self.links[connection] = asyncio.ensure_future(connection.serve())
+        self.connections[connection] = asyncio.ensure_future(connection.serve())
 
     def _log_saturation_once(self, why: str) -> None:
         if not self._saturation_logged:
             self._saturation_logged = True
             log.warning("clients are rejected: %s", why)
 
-    def share(self, fraction: float) -> None:
+    def limit_connections(self, fraction: float) -> None:
         """Use a fraction of the configured bound on connections."""
         self._max_connections = int(self._configured_max_connections * fraction)
 
-    def close_links(self) -> None:
+    def drain_connections(self) -> None:
         """Drain: from now on connections close between requests."""
         self._draining = True
-        for connection in list(self.links):
+        for connection in list(self.connections):
             connection.drain()
 
-    def refuse_rest(self) -> None:
+    def reject_new_requests(self) -> None:
         """Reject requests that still arrive: they could not be answered before the process ends."""
-        for connection in list(self.links):
+        for connection in list(self.connections):
             connection.drain_now()
 
-    def keep_links(self) -> None:
+    def keep_connections(self) -> None:
         """Keep new connections again; those that are draining still close."""
         self._draining = False
 
@@ -161,7 +163,7 @@
         """Close the connection that has been idle longest; False if none has been idle for min_idle_s."""
         now = self._loop.time()
         longest_idle: tuple[float, RespClientConnection] | None = None
-        for connection in self.links:
+        for connection in self.connections:
             idle_s = now - connection.idle_since_s
             if idle_s < min_idle_s:
                 continue
@@ -180,10 +182,10 @@
         """Close connections that are idle, stalled, or in the middle of a command for too long."""
         now = self._loop.time()
         buffered_bytes = 0
-        for connection in list(self.links):
+        for connection in list(self.connections):
             buffered_bytes += connection.buffered_bytes
-            if now - connection.unfetched_since_s >= (
-                STREAM_STALL_TIMEOUT_S if connection.is_streaming else UNFETCHED_TIMEOUT_S
+            if now - connection.write_stalled_since_s >= (
+                STREAM_STALL_TIMEOUT_S if connection.is_streaming else WRITE_STALL_TIMEOUT_S
             ):
                 connection.abort()
             elif (
@@ -192,20 +194,26 @@
                 connection.close_incomplete()
         if buffered_bytes > self._max_buffered_bytes:
             for connection in sorted(
-                self.links, key=lambda connection: connection.buffered_bytes, reverse=True
+                self.connections, key=lambda connection: connection.buffered_bytes, reverse=True
             ):
                 buffered_bytes -= connection.buffered_bytes
-                if connection.unfetched_bytes > connection.buffered_bytes // 2:
+                if connection.unsent_response_bytes > connection.buffered_bytes // 2:
                     connection.abort()  # mostly unfetched responses: only closing frees them
                 else:
                     connection.close_incomplete()
                 if buffered_bytes <= self._max_buffered_bytes:
                     break
-        while len(self.links) > self._crowded_count and self._evict_idle_connection(MIN_IDLE_WHEN_CROWDED_S):
+        while len(self.connections) > self._crowded_count and self._evict_idle_connection(
+            MIN_IDLE_WHEN_CROWDED_S
+        ):
             pass
-        if self._saturation_logged and not self._paused and len(self.links) < self._max_connections * 3 // 4:
+        if (
+            self._saturation_logged
+            and not self._paused
+            and len(self.connections) < self._max_connections * 3 // 4
+        ):
             self._saturation_logged = False
-            log.info("clients are accepted again: %d connections are open", len(self.links))
+            log.info("clients are accepted again: %d connections are open", len(self.connections))
 
     def _connection_closed(self, connection: RespClientConnection) -> None:
-        self.links.pop(connection, None)
+        self.connections.pop(connection, None)
--- a/badgeryoke/gateway/resp/upstream_connection.py
+++ b/badgeryoke/gateway/resp/upstream_connection.py
@@ -153,7 +153,7 @@
         # Backpressure: nothing is read while the response stream is full; this event ends the wait.
         self.stream_has_capacity = asyncio.Event()
         self.backpressured = False
-        self.parser = RespParser(max_items=8, max_long=MAX_STREAMED_BYTES)
+        self.parser = RespParser(max_items=8, max_streamed_bytes=MAX_STREAMED_BYTES)
         self.stream, connecting = (dial if upstream.lease is None else upstream.lease.dial)(
             address, MAX_READ_BUFFER_BYTES
         )
@@ -195,20 +195,24 @@
         report_names: tuple[str, ...],
         connect_ms: float,
         idle_ms: float,
-        most: int,
-        most_units: float = MAX_LOAD_FIGURE,
-        room: BufferBudget | None = None,
+        max_connections: int,
+        max_units: float = MAX_LOAD_FIGURE,
+        buffer_budget: BufferBudget | None = None,
         lease: UpstreamLease | None = None,
     ) -> None:
         super().__init__(loop)
         # Where the cluster enforces the server's connection limit, connections are opened and used only under a
         # lease.
         self.lease = lease
-        self._buffer_budget = room or BufferBudget(MAX_WINDOW_BYTES)
+        self._buffer_budget = buffer_budget or BufferBudget(MAX_WINDOW_BYTES)
         self.address = address
-        self._max_units = most_units
+        self._max_units = max_units
         self._clock, self._report_names = clock, report_names
-        self._connect_ms, self._idle_ms, self._max_connections = connect_ms, idle_ms * IDLE_FRACTION, most
+        self._connect_ms, self._idle_ms, self._max_connections = (
+            connect_ms,
+            idle_ms * IDLE_FRACTION,
+            max_connections,
+        )
         self._idle: list[_PooledConnection] = []
         self._connections: dict[_PooledConnection, None] = {}
         self._connecting_count = 0
@@ -221,11 +225,11 @@
         """Return the clock's time in ms."""
         return self._clock()
 
-    def retune(
-        self, report_names: tuple[str, ...], connect_ms: float, idle_ms: float, most_units: float
+    def update_settings(
+        self, report_names: tuple[str, ...], connect_ms: float, idle_ms: float, max_units: float
     ) -> None:
         """Apply new settings from the next attempt on."""
-        self._report_names, self._max_units = report_names, most_units
+        self._report_names, self._max_units = report_names, max_units
         self._connect_ms, self._idle_ms = connect_ms, idle_ms * IDLE_FRACTION
 
     def start(self, attempt: Attempt) -> None:
--- a/badgeryoke/gateway/upstream_directory.py
+++ b/badgeryoke/gateway/upstream_directory.py
@@ -63,7 +63,7 @@
         self._config = config
         for _, upstream in self.by_number.values():
             if isinstance(upstream, RespUpstream):
-                upstream.retune(
+                upstream.update_settings(
                     config.report_names, config.connect_ms, config.idle_ms, config.settings.max_request_units
                 )
 
@@ -132,9 +132,9 @@
             report_names=self._config.report_names,
             connect_ms=self._config.connect_ms,
             idle_ms=self._config.idle_ms,
-            most=max_connections,
-            most_units=self._config.settings.max_request_units,
-            room=self._stream_budget,
+            max_connections=max_connections,
+            max_units=self._config.settings.max_request_units,
+            buffer_budget=self._stream_budget,
             lease=lease,
         )
 
--- a/tests/gateway/cluster/test_connection_leases.py
+++ b/tests/gateway/cluster/test_connection_leases.py
@@ -225,7 +225,7 @@
             report_phase("PAUSING", told="paused")
             await wait_until(lambda: a.actions == ["pause"])
             a.drained = True
-            a.upstream.retune((), LONG_CONNECT_TIMEOUT_MS, 30_000.0, 1.0)
+            a.upstream.update_settings((), LONG_CONNECT_TIMEOUT_MS, 30_000.0, 1.0)
             a.start_attempt()  # a client that did not hear: it is served still, and the connection given back
             await wait_until(lambda: len(a.attempt_ends) == 2 and a.leases.is_empty)
             assert a.attempt_ends[1].verdict.name == "OK"
--- a/tests/gateway/resp/test_connection_close.py
+++ b/tests/gateway/resp/test_connection_close.py
@@ -36,7 +36,7 @@
     READ_CHUNK_BYTES,
     RespClientConnection,
 )
-from badgeryoke.gateway.resp.listener import COMMAND_TIMEOUT_S, UNFETCHED_TIMEOUT_S, RespListener
+from badgeryoke.gateway.resp.listener import COMMAND_TIMEOUT_S, WRITE_STALL_TIMEOUT_S, RespListener
 from badgeryoke.gateway.responses import Response, Served
 from badgeryoke.gateway.wall_clock import WallClock
 from tests.decisions.test_simulator_adapter import PARAMS
@@ -86,7 +86,7 @@
     made.setblocking(False)
     assert await asyncio.get_running_loop().sock_recv(made, 100) == b"$5\r\nvalue\r\n"
     made.setblocking(True)
-    return made, list(app.parts.resp_listener.links)[-1]
+    return made, list(app.parts.resp_listener.connections)[-1]
 
 
 def read(link: RespClientConnection) -> None:
@@ -122,14 +122,14 @@
             made.sendall(b"".join(query(f"r{n}") for n in range(MAX_PIPELINED_REQUESTS)))
             await until(
                 lambda: (
-                    app.parts.resp_listener.links
-                    and len(list(app.parts.resp_listener.links)[-1]._slots) == MAX_PIPELINED_REQUESTS
+                    app.parts.resp_listener.connections
+                    and len(list(app.parts.resp_listener.connections)[-1]._slots) == MAX_PIPELINED_REQUESTS
                 )
             )
             made.sendall(query("behind", "load-send", key="k", body="x" * 30_000))
-            await until(lambda: list(app.parts.resp_listener.links)[-1]._stream._read_buffer_size)
+            await until(lambda: list(app.parts.resp_listener.connections)[-1]._stream._read_buffer_size)
             made.close()
-            await asyncio.wait_for(until(lambda: not app.parts.resp_listener.links), 10.0)
+            await asyncio.wait_for(until(lambda: not app.parts.resp_listener.connections), 10.0)
             assert app.parts.dispatcher.unanswered == 0
 
     play(test)
@@ -194,8 +194,8 @@
             made = client(app)
             made.sendall(b"".join(query(f"r{n:06}") for n in range(400)))
             made.close()
-            await until(lambda: app.parts.resp_listener.links)
-            await until(lambda: not app.parts.resp_listener.links)
+            await until(lambda: app.parts.resp_listener.connections)
+            await until(lambda: not app.parts.resp_listener.connections)
             assert sizes == [] and app.parts.dispatcher.unanswered == 0
             assert await ask(app, resp("PING") * 2000) == ["+PONG"]  # while it asks on
             assert max(sizes) == READ_CHUNK_BYTES
@@ -269,7 +269,7 @@
                 seen = weakref.ref(link)
                 del link
                 made.close()
-                await until(lambda: not app.parts.resp_listener.links)
+                await until(lambda: not app.parts.resp_listener.connections)
                 await until(lambda: seen() is None)
             finally:
                 gc.enable()
@@ -323,15 +323,15 @@
                 await until(lambda: core.given)
                 core.given.pop()(Served(b"x" * 60_000))
                 await asyncio.sleep(0)
-            [link] = front.links
+            [link] = front.connections
             made.setblocking(False)
             got = 0
             while link._unsent_bytes > 60_100:  # the first is not out
                 got += len(await asyncio.get_running_loop().sock_recv(made, 4096))
-            assert link._unsent_bytes and link.unfetched_since_s < math.inf and got < 120_000
-            link.unfetched_since_s -= UNFETCHED_TIMEOUT_S
+            assert link._unsent_bytes and link.write_stalled_since_s < math.inf and got < 120_000
+            link.write_stalled_since_s -= WRITE_STALL_TIMEOUT_S
             front.sweep()
-            await until(lambda: not front.links)
+            await until(lambda: not front.connections)
 
     play(test)
 
@@ -345,15 +345,15 @@
             await until(lambda: len(core.given) == 10)
             for answer in core.given:
                 answer(Served(b"x" * 60_000))
-            [link] = front.links
-            await until(lambda: link.unfetched_since_s < math.inf)
+            [link] = front.connections
+            await until(lambda: link.write_stalled_since_s < math.inf)
             link.command_started_s -= COMMAND_TIMEOUT_S
             front.sweep()
             await asyncio.sleep(0)
-            assert front.links  # it has its time to fetch
-            link.unfetched_since_s -= UNFETCHED_TIMEOUT_S
+            assert front.connections  # it has its time to fetch
+            link.write_stalled_since_s -= WRITE_STALL_TIMEOUT_S
             front.sweep()
-            await until(lambda: not front.links)
+            await until(lambda: not front.connections)
 
     play(test)
 
@@ -370,7 +370,7 @@
             sending = asyncio.ensure_future(asyncio.get_running_loop().sock_sendall(made, asked))
             await until(lambda: len(core.given) >= MAX_PIPELINED_REQUESTS)
             await asyncio.sleep(0.01)
-            [link] = front.links
+            [link] = front.connections
             assert link._backpressured and not link._parser.is_idle and link.command_started_s == math.inf
             front.sweep()
             for answer in core.given:
@@ -422,8 +422,8 @@
             made = socket.socket()
             made.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             made.connect(app.lifecycle.address)
-            await until(lambda: app.parts.resp_listener.links)
-            [link] = app.parts.resp_listener.links
+            await until(lambda: app.parts.resp_listener.connections)
+            [link] = app.parts.resp_listener.connections
             link._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             made.sendall(query("first"))
             await until(lambda: link._stream.writing())
@@ -559,8 +559,8 @@
             made = client(app)
             made.sendall(query("held"))
             await node.books.arrived.wait()
-            [link] = app.parts.resp_listener.links
-            app.parts.resp_listener.refuse_rest()
+            [link] = app.parts.resp_listener.connections
+            app.parts.resp_listener.reject_new_requests()
             made.sendall(query("late"))
             await until(lambda: len(link._slots) == 2)
             app.lifecycle._answer_all_now()
--- a/tests/gateway/resp/test_golden_resp.py
+++ b/tests/gateway/resp/test_golden_resp.py
@@ -250,7 +250,7 @@
                 report_names=(),
                 connect_ms=5000.0,
                 idle_ms=30_000.0,
-                most=4,
+                max_connections=4,
             )
             out = asyncio.Event()
             execution = Attempt(
--- a/tests/gateway/resp/test_retries.py
+++ b/tests/gateway/resp/test_retries.py
@@ -56,7 +56,7 @@
             report_names=(),
             connect_ms=5000.0,
             idle_ms=60_000.0,
-            most=8,
+            max_connections=8,
         )
         self.taken: list[socket.socket] = []
 
@@ -247,7 +247,9 @@
             writer.write(query("r1"))
             await until(lambda: counter.units)
             writer.transport.abort()
-            await until(lambda: not app.parts.dispatcher.unanswered and not app.parts.resp_listener.links)
+            await until(
+                lambda: not app.parts.dispatcher.unanswered and not app.parts.resp_listener.connections
+            )
             counter.held.set()
             assert await ask(app, query("r2")) == [b"value"]
             assert [command[2] for command in backend.commands] == [b"r2"]
--- a/tests/gateway/test_connecting.py
+++ b/tests/gateway/test_connecting.py
@@ -44,7 +44,7 @@
             report_names=(),
             connect_ms=60.0,
             idle_ms=1000.0,
-            most=4,
+            max_connections=4,
         )
         request = Request("a1", "read", "plain", 7, 4000.0, 1.0, 2, idempotent=True)
         upstream.start(Attempt(request, 0, 1, NOW_MS, NOW_MS + 4000.0, lambda _, end: ends.put_nowait(end)))
--- a/tests/gateway/test_faults_by_stage.py
+++ b/tests/gateway/test_faults_by_stage.py
@@ -123,7 +123,7 @@
     def crash(self) -> None:
         """The process dies: every socket it had is closed, and nothing that it knew is left."""
         self.app.parts.resp_listener.stop()
-        for link in list(self.app.parts.resp_listener.links):
+        for link in list(self.app.parts.resp_listener.connections):
             link._stream.close()
         for _, server in self.app.parts.upstreams.by_number.values():
             for connection in list(server._connections):  # type: ignore[union-attr]
@@ -236,7 +236,7 @@
 
 async def client_leaves(at: World) -> None:
     at.writer.transport.abort()
-    await until(lambda: not at.app.parts.dispatcher.unanswered and not at.app.parts.resp_listener.links)
+    await until(lambda: not at.app.parts.dispatcher.unanswered and not at.app.parts.resp_listener.connections)
 
 
 async def server_resets(at: World) -> None:
--- a/tests/gateway/test_operations.py
+++ b/tests/gateway/test_operations.py
@@ -325,7 +325,7 @@
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("long"))
             await until(lambda: node.commands)
-            [link] = app.parts.resp_listener.links
+            [link] = app.parts.resp_listener.connections
             app.end()
             await until(lambda: link._closing)
             writer.write(query("behind"))
@@ -342,7 +342,7 @@
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query())
             assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
-            [link] = app.parts.resp_listener.links
+            [link] = app.parts.resp_listener.connections
             link._last_write_s -= client_link_module.LINGER_S
             app.end()
             assert await reader.read() == b"" and link._stream.closed()
--- a/tests/gateway/test_parsers.py
+++ b/tests/gateway/test_parsers.py
@@ -143,7 +143,7 @@
     ],
 )
 def test_the_fast_path_has_the_same_bounds(data: bytes) -> None:
-    parser = RespParser(max_total=100)
+    parser = RespParser(max_array_bytes=100)
     assert parser.feed(data) == [] and parser.fault
 
 
--- a/tests/gateway/test_response_stream.py
+++ b/tests/gateway/test_response_stream.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("step", [1000, 4097, 65536, 10**9])
 @pytest.mark.parametrize("size", [MAX_BULK_BYTES + 1, 300_000])
 def test_a_long_value_is_parsed_in_pieces_however_it_is_split(size: int, step: int) -> None:
-    parser, sent, got = RespParser(max_items=8, max_long=MAX_STREAMED_BYTES), value(size), []
+    parser, sent, got = RespParser(max_items=8, max_streamed_bytes=MAX_STREAMED_BYTES), value(size), []
     data = b"*3\r\n$%d\r\n" % size + sent + TAIL
     values: list[Any] = []
     for at in range(0, len(data), step):
@@ -60,7 +60,7 @@
     ],
 )
 def test_a_malformed_long_value_is_a_protocol_fault(data: bytes, fault: str) -> None:
-    parser = RespParser(max_items=8, max_long=MAX_STREAMED_BYTES)
+    parser = RespParser(max_items=8, max_streamed_bytes=MAX_STREAMED_BYTES)
     parser.feed(data)
     assert parser.fault == fault
 
--- a/tests/gateway/test_service.py
+++ b/tests/gateway/test_service.py
@@ -230,7 +230,7 @@
                 writer.write(query(f"r{n}"))
                 assert await read_reply(reader) == b"value"
                 now = app.parts.loop.time()
-                for link in app.parts.resp_listener.links:
+                for link in app.parts.resp_listener.connections:
                     link.idle_since_s = now - front_module.MIN_EVICTION_IDLE_S  # so much later
 
     play(test)
@@ -251,7 +251,7 @@
                 writers.append(writer)
                 writer.write(query(f"r{n}"))
                 assert await read_reply(reader) == b"value"
-            await until(lambda: len(app.parts.resp_listener.links) <= 4)  # though nobody new comes
+            await until(lambda: len(app.parts.resp_listener.connections) <= 4)  # though nobody new comes
 
     play(test)
 
@@ -281,7 +281,7 @@
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("whole") + resp("PING")[:6])
             await node.books.arrived.wait()
-            [link] = app.parts.resp_listener.links
+            [link] = app.parts.resp_listener.connections
             await until(lambda: link._closing)
             node.writers[0].write(b"*1\r\n$4\r\nkept\r\n")
             assert await read_reply(reader) == b"kept"
@@ -298,8 +298,8 @@
     async def test() -> None:
         async with one_gateway() as (app, _, _):
             _, writer = await connect(app.lifecycle.address)
-            await until(lambda: app.parts.resp_listener.links)
-            [link] = app.parts.resp_listener.links
+            await until(lambda: app.parts.resp_listener.connections)
+            [link] = app.parts.resp_listener.connections
             link.abort()
             assert not link.is_idle
             writer.close()
@@ -421,7 +421,7 @@
 
 
 def test_a_client_that_does_not_read_its_responses_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front_module, "UNFETCHED_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(front_module, "WRITE_STALL_TIMEOUT_S", 0.3)
     value = b"*1\r\n" + resp("v" * 65_000)[4:]
 
     async def test() -> None:
@@ -431,12 +431,12 @@
                 client.connect(
                     app.lifecycle.address
                 )  # into the backlog: nothing is accepted while this waits
-                await until(lambda: app.parts.resp_listener.links)
-                [link] = app.parts.resp_listener.links
+                await until(lambda: app.parts.resp_listener.connections)
+                [link] = app.parts.resp_listener.connections
                 link._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 client.sendall(query())
-                await until(lambda: link.unfetched_since_s < math.inf)
-                await until(lambda: not app.parts.resp_listener.links)
+                await until(lambda: link.write_stalled_since_s < math.inf)
+                await until(lambda: not app.parts.resp_listener.connections)
 
     play(test)
 
--- a/tests/support/connection_leases.py
+++ b/tests/support/connection_leases.py
@@ -70,7 +70,7 @@
                 report_names=(),
                 connect_ms=LONG_CONNECT_TIMEOUT_MS,
                 idle_ms=30_000.0,
-                most=16,
+                max_connections=16,
                 lease=lease,
             )
         )
