--- a/badgeryoke/gateway/quota_counter/client.py
+++ b/badgeryoke/gateway/quota_counter/client.py
@@ -9,70 +9,80 @@
 from badgeryoke.decisions.interface import CounterReply, Verdict
 from badgeryoke.gateway.actor import Actor, ActorScheduler
 from badgeryoke.gateway.address import Address
-from badgeryoke.gateway.quota_counter.codec import OVERLOADED, encode_increment, is_not_counted, parse_total
+from badgeryoke.gateway.quota_counter.codec import (
+    OVERLOADED_PREFIX,
+    encode_increment,
+    is_not_counted,
+    parse_total,
+)
 from badgeryoke.gateway.quota_counter.connection import CounterCall, CounterConnection
 from badgeryoke.gateway.resp.codec import Value
 
 log = logging.getLogger(__name__)
 
-MAX_SILENT_TIMEOUTS = 20.0  # call timeouts without any byte after which a connection is given up
-MAX_PENDING_CALLS = 512  # without a reply; more are rejected here
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before the next connection, after one that answered nothing
+MAX_SILENT_TIMEOUTS = 20.0  # a connection is closed after this many call timeouts without any byte
+MAX_PENDING_CALLS = 512  # calls without a reply; further ones are rejected by the client
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before reconnecting, after a connection that answered no call
 CONNECT_TIMEOUT_S = 0.5
 MIN_TIMEOUT_MS = 1.0
-TIMER_SLACK_MS = 0.5  # a call due this soon ends with the present timer
-SHOWN_ERROR_BYTES = 80
+TIMER_SLACK_MS = 0.5  # a call that is due this soon is ended by the current timer
+MAX_LOGGED_ERROR_BYTES = 80
 
 
 class QuotaCounterClient(Actor):
-    """Owns the connections: the active one, to which calls are written, and one that is being established
-    where the active one is lost or the counter has moved.  A call made while there is neither fails at once,
-    and nothing was added."""
+    """Owns the connections to the counter.
+
+    Calls are written to the active connection.  Another one is being established if the active one is lost or the
+    counter's address has changed.  A call made while there is neither fails at once, and the counter has added
+    nothing.
+    """
 
     def __init__(
         self, address: Address, timeout_ms: float, loop: ActorScheduler, clock: Callable[[], float]
     ) -> None:
-        """`timeout_ms`: of each call; `clock`: gives milliseconds."""
+        """`timeout_ms` is the timeout of each call; `clock` returns milliseconds."""
         super().__init__(loop)
         self._address, self._clock = address, clock
         self._timeout_ms = max(timeout_ms, MIN_TIMEOUT_MS)
         self._active: CounterConnection | None = None
         self._connecting: CounterConnection | None = None
-        # In the order of opening; with replaced ones, until their calls are answered.
+        # In the order of opening, including replaced ones until their calls are answered.
         self._connections: dict[CounterConnection, None] = {}
         self._unsent: list[CounterCall] = []
-        self._pending: deque[CounterCall] = deque()  # not timed out, or not seen to be; oldest first
+        self._pending: deque[CounterCall] = deque()  # calls that have not been expired yet; oldest first
         self._backoff_s = INITIAL_BACKOFF_S
         self._closing = False
         self._connect_scheduled = self._timer_set = False
         self._unreachable_logged = self._fault_logged = False
 
-    # What the gateway asks for.
+    # Called by the gateway.
 
     @property
     def has_pending_calls(self) -> bool:
-        """Whether a call waits for its reply and has not timed out."""
+        """Whether a call that has not timed out waits for its reply."""
         return any(not call.ended for call in self._pending)
 
     def open(self) -> None:
-        """Connect, and stay connected."""
+        """Connect, and reconnect whenever the connection is lost."""
         self.post(self._connect)
 
     def close(self) -> None:
-        """Close all connections, for good."""
+        """Close all connections and do not reconnect."""
         self.post(self._close)
 
     def switch_address(self, address: Address) -> None:
-        """The counter is at another address: connect there, and leave the old connection once its calls are
-        answered.  Until the new one is established, calls are written to the old one."""
+        """Connect to the counter's new address, and close the old connection once its calls are answered.
+
+        Until the new connection is established, calls are written to the old one.
+        """
         self.post(self._switch_address, address)
 
     def update_settings(self, timeout_ms: float) -> None:
-        """Use another timeout, also for calls in flight: their replies come in the same order."""
+        """Change the timeout, also of calls in flight; the order of their replies does not change."""
         self._timeout_ms = max(timeout_ms, MIN_TIMEOUT_MS)
 
     def add(self, name: int, units: float, ttl_ms: float, on_reply: Callable[[CounterReply], None]) -> None:
-        """Add units to a counter; `on_reply` is called once, no later than the timeout."""
+        """Add units to a counter; `on_reply` is called exactly once, no later than the timeout."""
         call = CounterCall(name, encode_increment(name, units, ttl_ms), self._clock(), on_reply)
         self.post(self._add, call)
 
@@ -81,7 +91,10 @@
     def _add(self, call: CounterCall) -> None:
         if self._active is None and self._connecting is None:
             self._finish(call, Verdict.CONNECT_FAILED)
-        elif len(self._unsent) + sum(len(one.in_flight) for one in self._connections) >= MAX_PENDING_CALLS:
+        elif (
+            len(self._unsent) + sum(len(connection.in_flight) for connection in self._connections)
+            >= MAX_PENDING_CALLS
+        ):
             self._finish(call, Verdict.QUEUE_FULL)
         else:
             self._unsent.append(call)
@@ -89,18 +102,18 @@
             self._set_timer()
 
     def batch_ended(self) -> None:
-        """Write the calls gathered in this turn."""
+        """Write the calls made in this turn."""
         active = self._active
         if not self._unsent or active is None:
             return
         if active.is_unusable():
             active.stream.close()
-            self.connection_closed(active)  # now: what was gathered goes over the next connection
+            self.connection_closed(active)  # called here, so that the unsent calls use the next connection
             return
         calls, self._unsent = self._unsent, []
-        # From here on each may have been counted.  Of a batch that is sent half, nothing tells which were.
+        # From here on each call may have been counted.  If a batch is sent in part, it is unknown which calls were.
         active.in_flight.extend(calls)
-        # Where the connection ends before all is written, connection_closed() handles it.
+        # If the connection ends before the write is complete, connection_closed() ends the calls.
         active.stream.write(b"".join(call.data for call in calls))
 
     def _finish(self, call: CounterCall, verdict: Verdict, total: float = 0.0) -> None:
@@ -116,14 +129,14 @@
     # Timeouts.
 
     def _set_timer(self) -> None:
-        """One timer for all calls: their timeout is the same, so the oldest is due first."""
+        """Set one timer for all calls: their timeout is the same, so the oldest is due first."""
         while self._pending and self._pending[0].ended:
             self._pending.popleft()
         if self._timer_set:
             return
         if self._pending:
             wait_ms = max(self._pending[0].started_at_ms + self._timeout_ms - self._clock(), 0.0)
-        elif any(one.in_flight for one in self._connections):
+        elif any(connection.in_flight for connection in self._connections):
             wait_ms = self._timeout_ms
         else:
             return
@@ -140,7 +153,7 @@
     def _expire_calls(self, now_ms: float) -> None:
         while self._pending and self._pending[0].started_at_ms + self._timeout_ms <= now_ms + TIMER_SLACK_MS:
             call = self._pending.popleft()
-            if call in self._unsent:  # never to be written now: nothing was added
+            if call in self._unsent:  # it will not be written, so the counter has added nothing
                 self._unsent.remove(call)
                 self._finish(call, Verdict.CONNECT_FAILED)
             else:
@@ -149,10 +162,10 @@
     def _close_silent_connections(self, now_ms: float) -> None:
         for connection in self._connections:
             if connection.is_stuck_in_reply(now_ms, self._timeout_ms):
-                self._log_fault("sent an incomplete reply, connection closed")
+                self._log_fault_once("sent an incomplete reply, connection closed")
                 connection.stream.close()
             elif connection.is_silent(now_ms, MAX_SILENT_TIMEOUTS * self._timeout_ms):
-                self._log_fault("silent, connection closed")
+                self._log_fault_once("silent, connection closed")
                 connection.stream.close()
 
     # Connections.
@@ -167,15 +180,15 @@
         self._connect()
 
     def _connect(self) -> None:
-        """Start a connection to the present address, where there is none."""
+        """Connect to the current address unless a connection to it is open or being established."""
         self._connect_scheduled = False
-        there = self._active is not None and self._active.address == self._address
-        if self._closing or there or self._connecting is not None:
+        already_connected = self._active is not None and self._active.address == self._address
+        if self._closing or already_connected or self._connecting is not None:
             return
         try:
             self._connecting = CounterConnection(self, self._address)
-        except OSError as error:  # no descriptor is free: a later attempt may find one
-            self._log_fault(f"no socket: {error}")
+        except OSError as error:  # no descriptor is free; one may be free at a later attempt
+            self._log_fault_once(f"no socket: {error}")
             self._schedule_connect(MAX_BACKOFF_S)
             return
         self._connections[self._connecting] = None
@@ -196,7 +209,7 @@
             connection.stream.close()
 
     def connection_opened(self, connection: CounterConnection) -> None:
-        """The connection is established: calls are written to it from now on."""
+        """Make an established connection the active one, to which calls are written from now on."""
         if connection is not self._connecting:
             return
         connection.established = True
@@ -209,7 +222,7 @@
             log.info("counter connected again")
 
     def connection_closed(self, connection: CounterConnection) -> None:
-        """The calls in flight on the connection may have been counted; those not yet sent were not."""
+        """End the calls in flight on a closed connection: they may have been counted.  Calls not sent yet were not."""
         if connection not in self._connections:
             return
         del self._connections[connection]
@@ -234,7 +247,7 @@
         self._active = None
         if self._connecting is not None:
             return
-        # Where it worked until now, or was idle until the counter closed it, reconnect at once.
+        # If the connection worked until now, or was idle until the counter closed it, reconnect at once.
         established_for_ms = self._clock() - connection.established_at_ms
         worked = connection.has_answered or established_for_ms >= MAX_BACKOFF_S * 1000.0
         if worked and not self._connect_scheduled:
@@ -254,8 +267,8 @@
     def data_received(self, connection: CounterConnection, data: bytes) -> None:
         """Match replies with the calls in flight, oldest first.
 
-        A reply that cannot be read may stand for a counted call, and ends its connection: nobody knows which
-        calls the replies behind it belong to.
+        The call of a reply that cannot be parsed may have been counted.  Such a reply ends its connection, since the
+        replies after it cannot be attributed to calls.
         """
         if connection not in self._connections:
             return
@@ -263,19 +276,19 @@
         in_flight, parser = connection.in_flight, connection.parser
         for value in parser.feed(data):
             if not in_flight:
-                self._give_up(connection, "sent a reply without a call")
+                self._abandon(connection, "sent a reply without a call")
                 return
-            if not self._take_reply(connection, in_flight.popleft(), value):
+            if not self._handle_reply(connection, in_flight.popleft(), value):
                 return
         if parser.fault:
-            self._give_up(connection, f"broke the protocol: {parser.fault}")
+            self._abandon(connection, f"broke the protocol: {parser.fault}")
         elif not in_flight and not parser.is_idle:
-            self._give_up(connection, "began a reply without a call")
+            self._abandon(connection, "began a reply without a call")
         elif connection is not self._active and not in_flight:
-            connection.stream.close()  # the counter has moved, and no reply is due here
+            connection.stream.close()  # replaced after a change of address, and all its calls are answered
 
-    def _take_reply(self, connection: CounterConnection, call: CounterCall, value: Value) -> bool:
-        """End a call by its reply; returns whether the connection can be used on."""
+    def _handle_reply(self, connection: CounterConnection, call: CounterCall, value: Value) -> bool:
+        """End a call by its reply; returns whether the connection is still usable."""
         total = parse_total(value)
         if total is not None:
             connection.has_answered, self._backoff_s = True, INITIAL_BACKOFF_S
@@ -283,21 +296,23 @@
             return True
         if is_not_counted(value):
             connection.has_answered, self._backoff_s = True, INITIAL_BACKOFF_S
-            if not value.startswith(OVERLOADED):
-                self._log_fault(f"error {bytes(value[:SHOWN_ERROR_BYTES])!r}")
+            if not value.startswith(OVERLOADED_PREFIX):
+                self._log_fault_once(f"error {bytes(value[:MAX_LOGGED_ERROR_BYTES])!r}")
             self._finish(call, Verdict.QUEUE_FULL)
             return True
         self._finish(call, Verdict.TIMEOUT)
-        self._give_up(connection, "sent a reply that is no total")
+        self._abandon(connection, "sent a reply that is no total")
         return False
 
-    def _give_up(self, connection: CounterConnection, fault: str) -> None:
-        self._log_fault(fault)
+    def _abandon(self, connection: CounterConnection, fault: str) -> None:
+        self._log_fault_once(fault)
         connection.stream.close()
-        self.connection_closed(connection)  # now: what this turn writes must not go there
+        self.connection_closed(
+            connection
+        )  # called here, so that this turn writes nothing more to the connection
 
-    def _log_fault(self, text: str) -> None:
-        """Log the counter's first fault."""
+    def _log_fault_once(self, text: str) -> None:
+        """Log the counter's first fault; further ones are not logged."""
         if not self._fault_logged:
             self._fault_logged = True
             log.warning("counter %s:%d %s", *self._address, text)
--- a/badgeryoke/gateway/quota_counter/connection.py
+++ b/badgeryoke/gateway/quota_counter/connection.py
@@ -20,26 +20,26 @@
 
 
 class ConnectionOwner(Protocol):
-    """The actor that a connection reports to; the handlers run as messages in its mailbox."""
+    """The actor to which a connection reports; the handlers run as messages in its mailbox."""
 
     def post(self, handler: Callable[..., None], *args: Any) -> None:
-        """Leave a message (`Actor.post`, whose handlers take what they will)."""
+        """Post a message to the actor's mailbox (see `Actor.post`)."""
 
     def deliver(self, handler: Callable[..., None], *args: Any) -> None:
-        """The same from a callback of the event loop (`Actor.deliver`)."""
+        """Post a message from a callback of the event loop (see `Actor.deliver`)."""
 
     def connection_opened(self, connection: CounterConnection) -> None:
-        """The connection is established."""
+        """Handle a connection that has been established."""
 
     def data_received(self, connection: CounterConnection, data: bytes) -> None:
-        """Bytes of replies have arrived."""
+        """Handle received bytes of replies."""
 
     def connection_closed(self, connection: CounterConnection) -> None:
-        """The connection has ended, or was never established."""
+        """Handle a connection that has ended or could not be established."""
 
 
 class CounterCall:
-    """One call, from its making to its only verdict."""
+    """One call to the counter; it ends with exactly one verdict."""
 
     __slots__ = ("data", "name", "on_reply", "started_at_ms")
 
@@ -47,22 +47,22 @@
         self, name: int, data: bytes, started_at_ms: float, on_reply: Callable[[CounterReply], None]
     ) -> None:
         self.name, self.data, self.started_at_ms = name, data, started_at_ms
-        # None once it has its verdict: after a timeout its reply is still matched, and ignored.
+        # None once the call has its verdict: after a timeout its reply is still matched, but ignored.
         self.on_reply: Callable[[CounterReply], None] | None = on_reply
 
     @property
     def ended(self) -> bool:
-        """Whether it has its verdict."""
+        """Whether the call has its verdict."""
         return self.on_reply is None
 
 
 class CounterConnection:
-    """A connection and the calls written to it, oldest first.  Only its owner uses it."""
+    """A connection and the calls in flight on it, used only by its owner."""
 
     def __init__(self, owner: ConnectionOwner, address: Address) -> None:
-        """Start to connect; raises OSError where no socket can be made."""
+        """Start to connect; raises OSError if no socket can be created."""
         self.address = address
-        self.in_flight: deque[CounterCall] = deque()  # given to the stream: some of them may be sent
+        self.in_flight: deque[CounterCall] = deque()  # written to the stream and possibly sent; oldest first
         self.parser = RespParser(max_items=1, max_depth=1, max_line_bytes=MAX_REPLY_LINE_BYTES)
         self.established = self.has_answered = False
         self.last_read_at_ms = self.established_at_ms = 0.0
@@ -71,7 +71,7 @@
         self._task = asyncio.ensure_future(self._run(owner, connected))
 
     async def _run(self, owner: ConnectionOwner, connected: asyncio.Future[IOStream]) -> None:
-        """Connect and read until the connection ends; its close callback reports every end."""
+        """Connect, and read until the connection ends; the close callback reports its end to the owner."""
         try:
             await connected
         except (StreamClosedError, OSError):
@@ -81,11 +81,11 @@
         await pump(self.stream, lambda data: owner.deliver(owner.data_received, self, data))
 
     def is_unusable(self) -> bool:
-        """Whether the counter has closed it, which the event loop may not have reported yet, or has sent
-        something without a call in flight, which would be taken for the next call's reply.
+        """Whether the counter has closed the connection or has sent unsolicited bytes.
 
-        A counter closes idle connections.  A call written into that close would end as one that may have
-        been counted, though it never was, and its units would be reported nowhere.
+        The event loop may not have reported the close yet.  A counter closes idle connections; a call written to
+        such a connection would end as one that may have been counted, though it was not, and its units would never
+        be reported.  Unsolicited bytes would be read as the reply to the next call.
         """
         if self.stream.closed():
             return True
@@ -98,9 +98,9 @@
             return True
 
     def is_stuck_in_reply(self, now_ms: float, timeout_ms: float) -> bool:
-        """Whether a reply has begun, its call has timed out, and no byte has come since for a timeout.
+        """Whether a reply is incomplete, its call has timed out, and no byte has been received for `timeout_ms`.
 
-        Such a reply would hold back all replies behind it.
+        Such a reply would delay all replies behind it.
         """
         return bool(
             self.in_flight
@@ -110,7 +110,7 @@
         )
 
     def is_silent(self, now_ms: float, silence_timeout_ms: float) -> bool:
-        """Whether a call is in flight and nothing has come for the silence timeout."""
+        """Whether a call is in flight and nothing has been received for `silence_timeout_ms`."""
         return bool(
             self.in_flight
             and now_ms - max(self.last_read_at_ms, self.in_flight[0].started_at_ms) > silence_timeout_ms
--- a/badgeryoke/gateway/resp/client_connection.py
+++ b/badgeryoke/gateway/resp/client_connection.py
@@ -34,34 +34,41 @@
 log = logging.getLogger(__name__)
 N = TypeVar("N", int, float)
 
-COMMANDS = {b"SVC.QUERY": True, b"SVC.SUBMIT": False}  # whether for idempotent request classes
+COMMANDS = {
+    b"SVC.QUERY": True,
+    b"SVC.SUBMIT": False,
+}  # whether the request classes of the command are idempotent
 # A request id or an idempotency key: printable, without blank or comma.
 REQUEST_ID_PATTERN = re.compile(r"[!-+\--~]{1,64}")
-MAX_FIELD_LIST_BYTES = 1024  # bytes of a list of names and values
-MAX_MALFORMED_COMMANDS = 3  # on one connection, which is then closed
-# Syntactic bounds; the dispatcher has narrower ones.
+MAX_FIELD_LIST_BYTES = 1024  # length of the argument with the name=value fields
+MAX_MALFORMED_COMMANDS = 3  # a connection is closed at this many
+# Syntactic bounds; the dispatcher checks narrower ones.
 MAX_DEADLINE_MS, MAX_UNITS, MAX_GATEWAYS = 1e7, 1e6, 1_000_000
-LINGER_S = 0.2  # for the client to fetch its last response and close
-# A draining connection still accepts requests for DRAIN_GRACE_S.  Later ones are rejected at once, and a client
-# that never stops sending is cut off after a response: what follows was not read.  A new connection has
-# FIRST_REQUEST_GRACE_S to send its first request.
+LINGER_S = 0.2  # time for the client to read its last response and close
+# A draining connection accepts requests for DRAIN_GRACE_S.  Later requests are rejected at once, and if the client
+# never stops sending, the connection is closed after a response, with the requests behind it unread.  A new
+# connection has FIRST_REQUEST_GRACE_S to send its first request.
 DRAIN_GRACE_S, FIRST_REQUEST_GRACE_S = 1.0, 0.5
-MAX_PIPELINED_REQUESTS = 64  # unanswered requests of one connection, beyond which nothing more is read
-# Bytes read and handled in one turn: hundreds of commands at once would block all other connections.  The
+MAX_PIPELINED_REQUESTS = 64  # unanswered requests of one connection; reading is suspended at this many
+# Bytes read and handled in one turn: hundreds of commands in one turn would block all other connections.  The
 # streams read chunks of the same size, so that no bytes are buffered between the socket and the turn.
 READ_CHUNK_BYTES = 4096
-DISCONNECT_CHECK_INTERVAL_S = 0.05  # while backpressure stops reading from a client
-MAX_UNSENT_BYTES = 128 * 1024  # written but not fetched by the client; a single response may be longer
-STREAM_CHUNK_BYTES = 32 * 1024  # written at once of a streamed value; the next chunk when this one is sent
+DISCONNECT_CHECK_INTERVAL_S = 0.05  # while backpressure suspends reading from a client
+MAX_UNSENT_BYTES = (
+    128 * 1024
+)  # bound of responses in the stream's write buffer; a single response may be longer
+STREAM_CHUNK_BYTES = 32 * 1024  # chunk of a streamed value; the next one is written when this one is sent
 PONG, OK = b"+PONG\r\n", b"+OK\r\n"
 
 
-def read_request(words: list[Value]) -> Request:
-    """Parse a request from a command's arguments; raises ValueError that says what is wrong."""
-    if not 4 <= len(words) <= 5 or not all(type(word) is bytes for word in words):
+def read_request(arguments: list[Value]) -> Request:
+    """Parse a request from a command's arguments; raises ValueError with the reason for the client."""
+    if not 4 <= len(arguments) <= 5 or not all(type(argument) is bytes for argument in arguments):
         raise ValueError("expected CUSTOMER ID LIST and at most a body")
-    name, customer, request_id, field_list = (bytes(word) for word in words[:4] if isinstance(word, bytes))
-    safe = COMMANDS[name.upper()]
+    name, customer, request_id, field_list = (
+        bytes(argument) for argument in arguments[:4] if isinstance(argument, bytes)
+    )
+    idempotent = COMMANDS[name.upper()]
     if len(field_list) > MAX_FIELD_LIST_BYTES:
         raise ValueError("list too long")
     fields = parse_pairs(field_list)
@@ -78,7 +85,7 @@
             first_gateway=_parse_field("first", parse_integer, fields["first"], MAX_GATEWAYS),
             retry=retry == "1",
             idempotency_key=key,
-            idempotent=safe,
+            idempotent=idempotent,
             accepts_stream=True,
         )
     except KeyError as missing:
@@ -89,20 +96,20 @@
         or retry not in ("0", "1")
     ):
         raise ValueError("id, k or r malformed")
-    if len(words) == 5 and isinstance(words[4], bytes):
-        request.body = words[4]
+    if len(arguments) == 5 and isinstance(arguments[4], bytes):
+        request.body = arguments[4]
     return request
 
 
-def _parse_field(name: str, read: Callable[[str, N], N], text: str, most: N) -> N:
+def _parse_field(name: str, parse: Callable[[str, N], N], text: str, maximum: N) -> N:
     try:
-        return read(text, most)
+        return parse(text, maximum)
     except ValueError as fault:
         raise ValueError(f"{name}: {fault}") from None
 
 
 def encode_response(response: Response) -> bytes:
-    """Encode a final response; of a streamed value only the header."""
+    """Encode a final response; for a streamed value, only its header."""
     match response:
         case Streaming(stream=response_stream):
             return b"$%d\r\n" % response_stream.length_bytes
@@ -114,7 +121,7 @@
 
 
 def _has_unread_data(stream: IOStream) -> bool:
-    """Whether the socket has unread bytes: they may be a request that the client regards as sent."""
+    """Whether the socket has unread bytes, which may be a request that the client has sent."""
     try:
         return bool(stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError:
@@ -122,12 +129,12 @@
 
 
 def _peer_has_closed(stream: IOStream) -> bool:
-    """Whether the client has closed its sending side, even if unread bytes precede that end."""
-    if stream.closed():  # a closed stream still returns what it has buffered
+    """Whether the client has closed its sending side, even if unread bytes precede the FIN."""
+    if stream.closed():  # a closed stream still returns its buffered bytes
         return True
-    look = select.poll()
-    look.register(stream.socket, select.POLLRDHUP)
-    return bool(look.poll(0))
+    poller = select.poll()
+    poller.register(stream.socket, select.POLLRDHUP)
+    return bool(poller.poll(0))
 
 
 class _ResponseSlot:
@@ -137,7 +144,7 @@
 
     def __init__(self, reply: bytes | None = None) -> None:
         self.reply = reply
-        # Tells the dispatcher that the client has disconnected.
+        # Cancels the request in the dispatcher when the client has disconnected.
         self.notify_disconnected: Callable[[], None] | None = None
         self.response_stream: ResponseStream | None = None  # set for a streamed value
 
@@ -148,38 +155,45 @@
     def __init__(
         self,
         stream: IOStream,
-        core: Dispatcher,
+        dispatcher: Dispatcher,
         loop: ActorScheduler,
-        ready: Callable[[], bool],
-        closed: Callable[[RespClientConnection], None],
+        is_ready: Callable[[], bool],
+        on_closed: Callable[[RespClientConnection], None],
     ) -> None:
         super().__init__(loop)
-        self._stream, self._dispatcher, self._is_ready, self._on_closed = stream, core, ready, closed
+        self._stream, self._dispatcher, self._is_ready, self._on_closed = (
+            stream,
+            dispatcher,
+            is_ready,
+            on_closed,
+        )
         self._parser = RespParser(
             max_items=5, max_depth=1, max_array_bytes=MAX_BULK_BYTES + 2 * MAX_FIELD_LIST_BYTES
         )
         self._malformed_count = 0
         self._slots: deque[_ResponseSlot] = deque()
-        self._closing = False  # closes once all accepted requests are answered
-        self._input_ended = self._output_ended = False  # further input is ignored
+        self._closing = False  # the connection closes once all accepted requests are answered
+        self._input_ended = self._output_ended = False  # either one: further input is ignored
         self._rejecting = False  # new requests are rejected
-        self._grace_expired = False  # new requests are rejected, and unread bytes are not waited for
+        self._grace_expired = False  # the connection closes without waiting for an incomplete command
         self._handling_data = False  # the last chunk read is being handled
         self._unsent_bytes = 0  # written to the stream but not yet to the socket
         self._last_write_s = -math.inf  # when a response was last written
         self._may_read = asyncio.Event()
         self.has_sent_command = False  # a complete command has been received
-        self.idle_since_s = loop.time()  # when it last had a request in flight, or was opened
-        self.write_stalled_since_s = math.inf  # since when responses wait for the client to fetch them
+        self.idle_since_s = (
+            loop.time()
+        )  # when a request was last in flight, or when the connection was opened
+        self.write_stalled_since_s = math.inf  # since when responses wait for the client to read them
         self.opened_at_s = self.idle_since_s
-        self._draining = False  # it closes between requests
+        self._draining = False  # the connection closes between requests
         # Start of the command being received; the first command counts from the start of the connection.
         self.command_started_s = self.idle_since_s
         stream.set_close_callback(lambda: self.post(self._disconnected))
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is in flight, being received or being sent: the connection may be closed."""
+        """Whether no request is in flight, being received or being answered: the connection may be closed."""
         if self._stream.closed() or self._slots or self._mailbox or not self._parser.is_idle or self._closing:
             return False
         return (
@@ -190,23 +204,23 @@
     def _has_unhandled_data(self) -> bool:
         """Whether bytes may have been read from the socket but not handled yet.
 
-        A read completes one round of the event loop before the coroutine that awaits it continues.
+        A read completes one event loop iteration before the coroutine that awaits it continues.
         """
         return not self._stream.reading() and not self._handling_data
 
     @property
     def _backpressured(self) -> bool:
-        """Whether reading is suspended for now."""
+        """Whether reading is suspended."""
         return len(self._slots) >= MAX_PIPELINED_REQUESTS or (self._input_ended and bool(self._slots))
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes buffered of an incomplete command and of unfetched responses."""
+        """Bytes buffered of an incomplete command and of responses not sent yet."""
         return self._parser.buffered_bytes + self.unsent_response_bytes
 
     @property
     def unsent_response_bytes(self) -> int:
-        """Bytes of responses that wait for the client, or for a response ahead of them."""
+        """Bytes of responses that wait for the client to read, or for an earlier response."""
         return self._unsent_bytes + sum(len(slot.reply) for slot in self._slots if slot.reply)
 
     @property
@@ -215,14 +229,14 @@
         return bool(self._slots) and self._slots[0].response_stream is not None
 
     def abort(self) -> None:
-        """Close at once: for an idle connection, or one whose client does not fetch its responses."""
+        """Close at once: for an idle connection, or one whose client does not read its responses."""
         self._stream.close()
 
     def close_incomplete(self) -> None:
-        """Close a connection whose command stays incomplete, or that is idle.
+        """Close a connection that is idle or whose command has been incomplete for too long.
 
-        Pending responses are sent first.  Unread bytes may be the rest of the command: they are handled, and
-        the next call checks again.
+        Pending responses are sent first.  Unread bytes may be the rest of the command: the connection stays open
+        until they are handled, and the next call checks again.
         """
         if self._slots:
             self.drain_now()
@@ -230,7 +244,7 @@
             self._stream.close()
 
     def reject(self) -> None:
-        """Reject the requests of a connection beyond the bound, and close it."""
+        """Reject the requests of a connection beyond the bound on connections, and close it."""
         self.post(self._reject)
 
     async def serve(self) -> None:
@@ -244,18 +258,18 @@
             while True:
                 reading = asyncio.ensure_future(self._stream.read_bytes(READ_CHUNK_BYTES, partial=True))
                 if reading.done():
-                    # Data was ready: yield, so that a client that sends without pause does not hold the event loop.
+                    # Data was ready: yield, so that a client that sends without pause does not block the event loop.
                     await asyncio.sleep(0)
                 elif self._closing:
-                    self.post(self._wake_up)  # no read data is unhandled any more
+                    self.post(self._wake_up)  # all data read has been handled: the connection may close now
                 data = await reading
                 if len(data) >= READ_CHUNK_BYTES and _peer_has_closed(self._stream):
-                    self._stream.close()  # nobody is left to receive responses to what it sent
+                    self._stream.close()  # the client has disconnected and cannot receive responses
                 self._handling_data = True
                 self.deliver(self._data_received, data)
                 self._handling_data = False
                 if self._backpressured:
-                    # The gateway, not the client, delays the rest of the command.
+                    # The gateway, not the client, delays the rest of the command: suspend the command timeout.
                     self.command_started_s = math.inf
                     await self._wait_for_capacity()
                     if not self._parser.is_idle:
@@ -263,11 +277,12 @@
         except OSError:  # including the end of the stream
             pass
         finally:
-            # Its exception refers to this frame and would keep the connection alive until a garbage collection.
+            # The future's exception refers to this frame and would keep the connection alive until a garbage
+            # collection.
             reading = None
 
     async def _wait_for_capacity(self) -> None:
-        """Wait until reading may continue, and check meanwhile whether the client has disconnected."""
+        """Wait until reading may resume, and check meanwhile whether the client has disconnected."""
         while self._backpressured and not self._stream.closed():
             if _peer_has_closed(self._stream):
                 self._stream.close()
@@ -277,14 +292,14 @@
             timer.cancel()
 
     def _data_received(self, data: bytes) -> None:
-        # A closed stream still returns what it has buffered: its client has disconnected, and no request may start.
+        # A closed stream still returns its buffered bytes; its client has disconnected, and no request may start.
         if self._input_ended or self._output_ended or self._stream.closed():
             return
         values = self._parser.feed(data)
         for value in values:
             self._handle_command(value)
             if self._input_ended:
-                return  # the rest is ignored: hundreds of malformed commands must cost no more than a few
+                return  # the rest is ignored, so that hundreds of malformed commands cost no more than a few
         if self._parser.is_idle:
             self.has_sent_command, self.command_started_s = True, math.inf
         elif values or self.command_started_s == math.inf:
@@ -310,11 +325,11 @@
                 self._reject_malformed(slot, f"syntax: {fault}")
                 return
             if self._rejecting:
-                # It has been read, so it gets a response: dropped, it would be lost with the connection.
+                # The request has been read, so it is answered: without a response it would be lost in the close.
                 slot.reply = encode_response(Rejected(1.0))
                 return
             slot.notify_disconnected = self._dispatcher.submit(
-                request, lambda answer: self.post(self._response_ready, slot, answer)
+                request, lambda response: self.post(self._response_ready, slot, response)
             )
         elif name == b"PING":
             slot.reply = PONG if self._is_ready() else error("ERR not ready")
@@ -323,22 +338,22 @@
         else:
             self._reject_malformed(slot, "unknown command")
 
-    def _reject_malformed(self, slot: _ResponseSlot, words: str) -> None:
+    def _reject_malformed(self, slot: _ResponseSlot, text: str) -> None:
         """Answer a malformed command with an error; after too many of them the connection is closed."""
-        slot.reply = error(f"ERR {words}")
+        slot.reply = error(f"ERR {text}")
         self._malformed_count += 1
         if self._malformed_count >= MAX_MALFORMED_COMMANDS:
             self._input_ended = self._closing = True
 
-    def _response_ready(self, slot: _ResponseSlot, answer: Response) -> None:
-        if isinstance(answer, Streaming):
-            slot.reply, slot.response_stream = encode_response(answer), answer.stream
-            answer.stream.on_change = lambda: self.post(self._wake_up)
+    def _response_ready(self, slot: _ResponseSlot, response: Response) -> None:
+        if isinstance(response, Streaming):
+            slot.reply, slot.response_stream = encode_response(response), response.stream
+            response.stream.on_change = lambda: self.post(self._wake_up)
         else:
-            slot.reply, slot.notify_disconnected = encode_response(answer), None
+            slot.reply, slot.notify_disconnected = encode_response(response), None
 
     def _wake_up(self) -> None:
-        """Do nothing but cause a turn: batch_ended() then writes what can be written, and may close."""
+        """Do nothing but cause a turn, in which batch_ended() writes pending responses and may close."""
 
     def batch_ended(self) -> None:
         """Write all responses that are ready at the head of the queue, in one write."""
@@ -347,7 +362,7 @@
         unsent = self._unsent_bytes
         while slots and (reply := slots[0].reply) is not None:
             if unsent and unsent + len(reply) > MAX_UNSENT_BYTES:
-                break  # the rest once these are sent
+                break  # the other responses are written once these are sent
             if (response_stream := slots[0].response_stream) is not None and not self._write_stream(
                 slots[0], response_stream, out
             ):
@@ -376,7 +391,7 @@
             self._close_gracefully()
 
     def _write_finished(self, done: asyncio.Future[None], size: int) -> None:
-        """Account for a finished write; also retrieves the exception of a write cut short by a close."""
+        """Account for a finished write; also retrieves the exception of a write interrupted by a close."""
         self._unsent_bytes -= size
         if not done.cancelled() and done.exception() is None:
             self.write_stalled_since_s = self._loop.time() if self._unsent_bytes else math.inf
@@ -388,9 +403,10 @@
     ) -> bool:
         """Add the next chunk of a streamed value to the output; True once the value is complete.
 
-        One chunk at a time, so that a slow client puts backpressure on the upstream instead of filling memory.
+        Only one chunk at a time is written, so that a slow client puts backpressure on the upstream instead of
+        filling memory.
         """
-        if response_stream.aborted:  # the client could not tell later responses from the rest of the value
+        if response_stream.aborted:  # the client would read later responses as the rest of the value
             self._input_ended = self._closing = True
             self._loop.call_soon(self._stream.close)
             return False
@@ -409,21 +425,23 @@
         return True
 
     def _close_gracefully(self) -> None:
-        """Close the sending side first.
+        """Close the sending side first, and the connection after LINGER_S.
 
         A full close with unread bytes would reset the connection, and the reset could overtake the last response.
         """
         if self._stream.closed() or self._stream.writing():
-            return  # called again once that is sent
+            return  # _write_finished() causes another turn
         if not self._input_ended and (
             self._has_unhandled_data
             or (not self._grace_expired and (not self._parser.is_idle or _has_unread_data(self._stream)))
         ):
-            return  # sent before our close: it is read and answered, and that turn calls this again
+            return  # sent before the close: it is read and answered, and that turn calls this method again
         if not self._output_ended:
             self._output_ended = True
-            if self._loop.time() - self._last_write_s >= LINGER_S:  # the client has its last response
-                self._stream.close()  # requests that cross the close are not read, so the client retries them
+            if (
+                self._loop.time() - self._last_write_s >= LINGER_S
+            ):  # the client has received its last response
+                self._stream.close()  # requests that arrive during the close are not read; the client retries them
                 return
             with contextlib.suppress(OSError):
                 self._stream.socket.shutdown(socket.SHUT_WR)
@@ -450,11 +468,11 @@
                 self._loop.call_later(wait_s, self.deliver, self._first_request_expired)
 
     def _drain_now(self) -> None:
-        """Close as soon as nothing is in flight: the grace period is over."""
+        """Close as soon as no request is in flight: the grace period is over."""
         self._rejecting = self._grace_expired = self._closing = True
 
     def _first_request_expired(self) -> None:
-        """Close: no first request came within its grace period."""
+        """Close: the first request did not arrive within its grace period."""
         self._closing = True
 
     def _disconnected(self) -> None:
--- a/badgeryoke/gateway/resp/codec.py
+++ b/badgeryoke/gateway/resp/codec.py
@@ -6,20 +6,22 @@
 from collections.abc import Iterable
 
 MAX_NUMBER_DIGITS = 20  # including the sign
-MAX_BULK_BYTES = 64 * 1024  # of a bulk string that is buffered completely
-MAX_STREAMED_BYTES = 4 * 1024 * 1024  # of a longer one, which is streamed where the owner asks for it
+MAX_BULK_BYTES = 64 * 1024  # length of a bulk string that is buffered completely
+MAX_STREAMED_BYTES = (
+    4 * 1024 * 1024
+)  # length of a longer bulk string, which is streamed if the parser's owner allows it
 
 
 class _ProtocolError(Exception):
-    """Stops parsing; never raised to the parser's caller."""
+    """Stops parsing; never leaves the parser."""
 
 
 class Status(bytes):
-    """A simple string, such as +OK."""
+    """A simple string, such as `+OK`, without its type byte."""
 
 
 class ErrorReply(bytes):
-    """An error line, such as -BUSY 20, without its sign."""
+    """An error, such as `-BUSY 20`, without its type byte."""
 
 
 class StreamedValue(bytes):
@@ -30,10 +32,10 @@
 
 
 class RespParser:
-    """Incremental parser: takes bytes as they arrive and returns the values that are complete.
+    """Incremental parser: accepts bytes as they arrive and returns the values that are complete.
 
-    Each byte is scanned once, however small the pieces: items of an incomplete array are kept.  Where the
-    input is not RESP2, or exceeds a bound, `fault` says so; values that were complete before it are still
+    Each byte is scanned once, however small the pieces: items of an incomplete array are kept.  If the input is
+    not RESP2 or exceeds a bound, `fault` is set to the reason; values completed before the fault are still
     returned, and nothing after it is parsed.
     """
 
@@ -54,16 +56,16 @@
         )
         self._buffer = bytearray()
         self._bulk_length: int | None = None  # length of the bulk string being parsed
-        self._open_arrays: list[tuple[int, list[Value]]] = []  # incomplete arrays, each with its item count
+        self._open_arrays: list[tuple[int, list[Value]]] = []  # incomplete arrays: item count, items so far
         self._array_bytes = 0  # bytes of bulk strings in the array being parsed
         self._scanned = 0  # bytes of the buffer known to contain no line end
         self.fault = ""
-        # Streamed value: the first item of an outermost array, longer than max_bulk_bytes and up to max_streamed_bytes.
+        # Streamed value: the first item of an outermost array, if longer than max_bulk_bytes.
         self._max_streamed_bytes = max_streamed_bytes
-        self._stream_remaining: int | None = None  # bytes of it not yet received
+        self._stream_remaining: int | None = None  # bytes of the streamed value not yet received
         self.stream_length = 0  # its length, from its header until reset_stream()
         self.stream_complete = False  # its line end has been received
-        self.stream_pieces: list[bytes] = []  # received pieces of it, for the owner to take
+        self.stream_pieces: list[bytes] = []  # its received pieces; the owner removes them
 
     @property
     def is_idle(self) -> bool:
@@ -81,99 +83,113 @@
 
     def feed(self, data: bytes) -> list[Value]:
         """Parse data and return the values that it completes."""
-        whole: list[Value] = []
+        values: list[Value] = []
         if not self.fault:
             try:
                 if not self._buffer and not self._open_arrays and self._bulk_length is None:
-                    data = data[self._read_complete_commands(data, whole) :]
+                    data = data[self._read_complete_commands(data, values) :]
                     if not data:
-                        return whole
-                self._read(data, whole)
+                        return values
+                self._read(data, values)
             except _ProtocolError as fault:
                 self.fault = str(fault)
                 self._buffer.clear()
                 self._open_arrays.clear()
-        return whole
+        return values
 
-    def _read_complete_commands(self, data: bytes, whole: list[Value]) -> int:
+    def _read_complete_commands(self, data: bytes, values: list[Value]) -> int:
         """Fast path for complete arrays of bulk strings; returns the number of bytes consumed.
 
-        Anything else, or anything that exceeds a bound, is left to the general parser.
+        Anything else, or anything that exceeds a bound, is left to the general parser.  In the byte comparisons,
+        42 is "*" and 36 is "$".
         """
-        taken, size, find = 0, len(data), data.find
-        while taken < size:
-            end = find(b"\r\n", taken, taken + 6)
-            digits = data[taken + 1 : end]
-            if end < 0 or data[taken] != 42 or not digits.isdigit() or not 0 < int(digits) <= self._max_items:
+        consumed, size, find = 0, len(data), data.find
+        while consumed < size:
+            end = find(b"\r\n", consumed, consumed + 6)
+            digits = data[consumed + 1 : end]
+            if (
+                end < 0
+                or data[consumed] != 42
+                or not digits.isdigit()
+                or not 0 < int(digits) <= self._max_items
+            ):
                 break
-            words: list[Value] = []
-            at, total = end + 2, 0
+            items: list[Value] = []
+            offset, total = end + 2, 0
             for _ in range(int(digits)):
-                end = find(b"\r\n", at, at + 10)
-                length = data[at + 1 : end]
-                if end < 0 or data[at] != 36 or not length.isdigit():
-                    return taken
-                at = end + 2 + int(length)
+                end = find(b"\r\n", offset, offset + 10)
+                length = data[offset + 1 : end]
+                if end < 0 or data[offset] != 36 or not length.isdigit():
+                    return consumed
+                offset = end + 2 + int(length)
                 total += int(length)
                 if (
                     int(length) > self._max_bulk_bytes
                     or total > self._max_array_bytes
-                    or data[at : at + 2] != b"\r\n"
+                    or data[offset : offset + 2] != b"\r\n"
                 ):
-                    return taken
-                words.append(data[end + 2 : at])
-                at += 2
-            whole.append(words)
-            taken = at
-        return taken
-
-    def _read(self, data: bytes, whole: list[Value]) -> None:
+                    return consumed
+                items.append(data[end + 2 : offset])
+                offset += 2
+            values.append(items)
+            consumed = offset
+        return consumed
+
+    def _read(self, data: bytes, values: list[Value]) -> None:
         buffer = self._buffer
         buffer += data
-        at = 0
+        offset = 0
         while True:
             value: Value
             if self._stream_remaining is not None:
-                if piece := bytes(buffer[at : at + self._stream_remaining]):
+                if piece := bytes(buffer[offset : offset + self._stream_remaining]):
                     self.stream_pieces.append(piece)
                     self._stream_remaining -= len(piece)
-                    at += len(piece)
-                if self._stream_remaining or len(buffer) - at < 2:
+                    offset += len(piece)
+                if self._stream_remaining or len(buffer) - offset < 2:
                     break
-                if buffer[at : at + 2] != b"\r\n":
+                if buffer[offset : offset + 2] != b"\r\n":
                     raise _ProtocolError("bulk string without its line end")
-                value, self._stream_remaining, self.stream_complete, at = StreamedValue(), None, True, at + 2
+                value, self._stream_remaining, self.stream_complete, offset = (
+                    StreamedValue(),
+                    None,
+                    True,
+                    offset + 2,
+                )
             elif self._bulk_length is not None:
-                end = at + self._bulk_length
+                end = offset + self._bulk_length
                 if len(buffer) < end + 2:
                     break
                 if buffer[end : end + 2] != b"\r\n":
                     raise _ProtocolError("bulk string without its line end")
-                value = bytes(buffer[at:end])
-                self._bulk_length, at = None, end + 2
+                value = bytes(buffer[offset:end])
+                self._bulk_length, offset = None, end + 2
             else:
-                end = buffer.find(b"\r\n", max(at, self._scanned))
-                if end - at > self._max_line_bytes or (end < 0 and len(buffer) - at > self._max_line_bytes):
+                end = buffer.find(b"\r\n", max(offset, self._scanned))
+                if end - offset > self._max_line_bytes or (
+                    end < 0 and len(buffer) - offset > self._max_line_bytes
+                ):
                     raise _ProtocolError("line too long")
                 if end < 0:
-                    self._check_partial_line(bytes(buffer[at : at + MAX_NUMBER_DIGITS + 2]))
-                    self._scanned = max(len(buffer) - 1, at)
+                    self._check_partial_line(bytes(buffer[offset : offset + MAX_NUMBER_DIGITS + 2]))
+                    self._scanned = max(len(buffer) - 1, offset)
                     break
-                kind, line, at = buffer[at : at + 1], bytes(buffer[at + 1 : end]), end + 2
-                self._scanned = at
+                kind, line, offset = buffer[offset : offset + 1], bytes(buffer[offset + 1 : end]), end + 2
+                self._scanned = offset
                 if kind == b"$":
                     first = len(self._open_arrays) == 1 and not self._open_arrays[0][1]
-                    most = (
+                    maximum = (
                         self._max_streamed_bytes
                         if first and self._max_streamed_bytes
                         else self._max_bulk_bytes
                     )
-                    length = self._parse_length(line, most)
+                    length = self._parse_length(line, maximum)
                     if length > self._max_bulk_bytes:
                         self.stream_length = self._stream_remaining = length
                         continue
                     if length >= 0:
-                        # The sum is bounded too: many strings at the bound would be buffered until the last one.
+                        # The sum is bounded too: many strings at their bound would be buffered until the last
+                        # one is complete.
                         self._array_bytes = self._array_bytes + length if self._open_arrays else length
                         if self._array_bytes > self._max_array_bytes:
                             raise _ProtocolError("too large as a whole")
@@ -204,14 +220,14 @@
                 self._open_arrays.pop()
                 value = items
             else:
-                whole.append(value)
+                values.append(value)
                 self._array_bytes = 0
-        del buffer[:at]
-        self._scanned = max(self._scanned - at, 0)
+        del buffer[:offset]
+        self._scanned = max(self._scanned - offset, 0)
 
     @staticmethod
     def _check_partial_line(line: bytes) -> None:
-        """Check an incomplete line: malformed input is detected before its line end arrives."""
+        """Check an incomplete line, so that malformed input is detected before its line end arrives."""
         kind, rest = line[:1], line[1:].rstrip(b"\r")
         if kind and kind not in b"+-:$*":
             raise _ProtocolError("unknown type byte")
@@ -229,16 +245,16 @@
             raise _ProtocolError("number expected")
         return int(line)
 
-    def _parse_length(self, line: bytes, most: int) -> int:
+    def _parse_length(self, line: bytes, maximum: int) -> int:
         length = self._parse_integer(line)
-        if length < -1 or length > most:
+        if length < -1 or length > maximum:
             raise _ProtocolError("length out of bounds")
         return length
 
 
-def command(words: Iterable[bytes]) -> bytes:
+def command(arguments: Iterable[bytes]) -> bytes:
     """Encode a command: an array of bulk strings."""
-    parts = [b"$%d\r\n%b\r\n" % (len(word), word) for word in words]
+    parts = [b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments]
     return b"*%d\r\n%b" % (len(parts), b"".join(parts))
 
 
@@ -247,37 +263,37 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def error(words: str) -> bytes:
-    """Encode an error line; line ends in the text become spaces."""
-    return b"-%b\r\n" % " ".join(words.split()).encode("ascii", "replace")
+def error(text: str) -> bytes:
+    """Encode an error; line ends in the text become spaces."""
+    return b"-%b\r\n" % " ".join(text.split()).encode("ascii", "replace")
 
 
 NUMBER_PATTERN = re.compile(r"\d{1,12}(\.\d{1,12})?")
 
 
-def parse_number(text: str, most: float) -> float:
-    """Parse a plain decimal number from 0 to most; raises ValueError.
+def parse_number(text: str, maximum: float) -> float:
+    """Parse a plain decimal number from 0 to `maximum`; raises ValueError.
 
-    float() would also accept nan, inf, signs, blanks and underscores.
+    float() alone would also accept nan, inf, signs, blanks and underscores.
     """
-    if not NUMBER_PATTERN.fullmatch(text) or float(text) > most:
-        raise ValueError(f"expected a number up to {most:g}")
+    if not NUMBER_PATTERN.fullmatch(text) or float(text) > maximum:
+        raise ValueError(f"expected a number up to {maximum:g}")
     return float(text)
 
 
-def parse_integer(text: str, most: int) -> int:
-    """Parse an integer from 0 to most, digits only; raises ValueError."""
-    if not text.isascii() or not text.isdigit() or len(text) > 12 or int(text) > most:
-        raise ValueError(f"expected a whole number up to {most}")
+def parse_integer(text: str, maximum: int) -> int:
+    """Parse an integer from 0 to `maximum`, digits only; raises ValueError."""
+    if not text.isascii() or not text.isdigit() or len(text) > 12 or int(text) > maximum:
+        raise ValueError(f"expected a whole number up to {maximum}")
     return int(text)
 
 
 def parse_pairs(text: bytes) -> dict[str, str]:
-    """Parse comma-separated name=value pairs, each name once; raises ValueError."""
-    found: dict[str, str] = {}
+    """Parse comma-separated name=value pairs; raises ValueError, also for a repeated name."""
+    pairs: dict[str, str] = {}
     for part in text.decode("ascii").split(","):
         name, equals, value = part.partition("=")
-        if not equals or not name or name in found:
+        if not equals or not name or name in pairs:
             raise ValueError("expected name=value, each name once")
-        found[name] = value
-    return found
+        pairs[name] = value
+    return pairs
--- a/badgeryoke/gateway/resp/listener.py
+++ b/badgeryoke/gateway/resp/listener.py
@@ -15,22 +15,23 @@
 
 log = logging.getLogger(__name__)
 
-# How long a client may take to send a command, the first one counted from the connect, and how long it may keep
-# an idle connection, which occupies a descriptor and memory.
+# How long a client may take to send a command, counted from the connect for the first one, and how long it may
+# keep an idle connection, which occupies a descriptor and memory.
 COMMAND_TIMEOUT_S, IDLE_TIMEOUT_S = 2.6, 20.0
-# At the bound on connections, the one idle longest is evicted, if idle for at least this long.  One that has not
-# sent a command yet counts as idle for longer, since clients with a request send it at once.
+# At the bound on connections, the connection idle longest is evicted if it has been idle for at least
+# MIN_EVICTION_IDLE_S.  The idle time of a connection without any command counts SILENT_IDLE_BONUS_S longer, since
+# clients with a request send it at once.
 MIN_EVICTION_IDLE_S, SILENT_IDLE_BONUS_S = 0.1, 2.0
-# Above a fraction of the descriptors (application.py), connections idle for this long are closed, the longest
-# idle first, so that many idle clients cannot use up the whole bound and lock others out.
+# Above a fraction of the descriptors (parts.py), connections idle for this long are closed, the longest idle first,
+# so that many idle clients cannot use up the whole bound and lock others out.
 MIN_IDLE_WHEN_CROWDED_S = 0.3
 MAX_READ_BUFFER_BYTES = 128 * 1024  # bound of data read from a client and not yet handled
-WRITE_STALL_TIMEOUT_S = 2.5  # for a client to fetch its responses, ...
-STREAM_STALL_TIMEOUT_S = 10.0  # ... and each chunk of a streamed value
+WRITE_STALL_TIMEOUT_S = 2.5  # for a client to read its responses
+STREAM_STALL_TIMEOUT_S = 10.0  # for a client to read a chunk of a streamed value
 BACKLOG = 512  # length of the kernel's accept queue
-MAX_ACCEPTS_PER_TURN = 64  # before other work has its turn
-# Beyond the bound, this fraction of it more is accepted only to be rejected; further connections wait in the
-# kernel's accept queue, and accepting is retried after the interval.
+MAX_ACCEPTS_PER_TURN = 64  # then other work gets the event loop
+# Beyond the bound on connections, further ones are accepted only to be rejected: this fraction of the bound, but at
+# least the minimum.  The rest wait in the kernel's accept queue, and accepting is retried after the interval.
 REJECTED_CONNECTIONS_FRACTION, MIN_REJECTED_CONNECTIONS, ACCEPT_RETRY_INTERVAL_S = 1 / 16, 4, 0.05
 
 
@@ -39,31 +40,35 @@
 
     def __init__(
         self,
-        core: Dispatcher,
+        dispatcher: Dispatcher,
         loop: ActorScheduler,
-        most: int,
-        host_group: DiscoveryClient,
-        most_held: int,
-        crowd: int,
+        max_connections: int,
+        discovery: DiscoveryClient,
+        max_buffered_bytes: int,
+        crowded_count: int,
     ) -> None:
-        self._crowded_count = crowd
-        self._max_buffered_bytes = most_held
-        self._dispatcher, self._loop, self._max_connections, self._discovery = core, loop, most, host_group
+        self._crowded_count = crowded_count
+        self._max_buffered_bytes = max_buffered_bytes
+        self._dispatcher, self._loop, self._max_connections, self._discovery = (
+            dispatcher,
+            loop,
+            max_connections,
+            discovery,
+        )
         self._configured_max_connections, self._max_rejected_connections = (
-            most,
-            max(int(most * REJECTED_CONNECTIONS_FRACTION), MIN_REJECTED_CONNECTIONS),
+            max_connections,
+            max(int(max_connections * REJECTED_CONNECTIONS_FRACTION), MIN_REJECTED_CONNECTIONS),
         )
-        self.connections: dict[
-            RespClientConnection, asyncio.Future[None] | None
-        ] = {}  # each with its reading task
+        # The open connections, each with its serve() task.
+        self.connections: dict[RespClientConnection, asyncio.Future[None] | None] = {}
         self._listening_sockets: list[socket.socket] = []
         self._paused = False
-        self.reports_not_ready = False  # PING answers "not ready", so that clients go elsewhere
-        self._draining = False  # connections close between requests, new ones after their first
+        self.reports_not_ready = False  # PING is answered "not ready", so that clients use another gateway
+        self._draining = False  # connections close between requests, new ones after their first request
         self._saturation_logged = False
 
     def ready(self) -> bool:
-        """Whether PING answers that this gateway takes requests."""
+        """Whether PING is answered with PONG: this gateway accepts requests."""
         return self._discovery.ready and not self.reports_not_ready
 
     def add_sockets(self, sockets: list[socket.socket]) -> None:
@@ -72,28 +77,28 @@
         self._resume_accepting()
 
     def stop(self) -> None:
-        """Stop accepting, after taking the kernel's backlog: it would be reset with the listening socket."""
+        """Stop accepting, after accepting the kernel's backlog, which would be reset with the listening socket."""
         listening_sockets, self._listening_sockets = self._listening_sockets, []
-        for one in listening_sockets:
-            asyncio.get_running_loop().remove_reader(one)
-            self._accept(one, last=True)
-            one.close()
+        for listening_socket in listening_sockets:
+            asyncio.get_running_loop().remove_reader(listening_socket)
+            self._accept(listening_socket, last=True)
+            listening_socket.close()
 
     def _resume_accepting(self) -> None:
         self._paused = False
-        for one in self._listening_sockets:
-            asyncio.get_running_loop().add_reader(one, self._accept, one)
+        for listening_socket in self._listening_sockets:
+            asyncio.get_running_loop().add_reader(listening_socket, self._accept, listening_socket)
 
     def _pause_accepting(self) -> None:
-        """Leave waiting connections in the kernel's backlog for a while: an immediate retry would fail too."""
+        """Leave connections in the kernel's backlog for ACCEPT_RETRY_INTERVAL_S: an immediate retry would fail too."""
         if not self._paused and self._listening_sockets:
             self._paused = True
-            for one in self._listening_sockets:
-                asyncio.get_running_loop().remove_reader(one)
+            for listening_socket in self._listening_sockets:
+                asyncio.get_running_loop().remove_reader(listening_socket)
             self._loop.call_later(ACCEPT_RETRY_INTERVAL_S, self._resume_accepting)
 
     def _accept(self, listening_socket: socket.socket, last: bool = False) -> None:
-        """Accept waiting connections within the bound, or all of them when the listener stops."""
+        """Accept connections from the backlog within the bound, or all of them when the listener stops."""
         for _ in range(2 * BACKLOG if last else MAX_ACCEPTS_PER_TURN):
             if (
                 len(self.connections) >= self._max_connections + self._max_rejected_connections
@@ -151,16 +156,16 @@
             connection.drain()
 
     def reject_new_requests(self) -> None:
-        """Reject requests that still arrive: they could not be answered before the process ends."""
+        """Reject requests from now on: they could not be answered before the process ends."""
         for connection in list(self.connections):
             connection.drain_now()
 
     def keep_connections(self) -> None:
-        """Keep new connections again; those that are draining still close."""
+        """Stop draining: new connections stay open again; those already draining still close."""
         self._draining = False
 
     def _evict_idle_connection(self, min_idle_s: float) -> bool:
-        """Close the connection that has been idle longest; False if none has been idle for min_idle_s."""
+        """Close the connection that has been idle longest; False if none has been idle for `min_idle_s`."""
         now = self._loop.time()
         longest_idle: tuple[float, RespClientConnection] | None = None
         for connection in self.connections:
@@ -172,7 +177,7 @@
                 longest_idle = idle_s, connection
         if longest_idle is None:
             return False
-        longest_idle[1].abort()  # checked in this turn: it has no unread data
+        longest_idle[1].abort()  # is_idle was checked in this turn: the connection has no unread data
         self._connection_closed(
             longest_idle[1]
         )  # no longer counted, though its close event is still in the mailbox
@@ -198,7 +203,7 @@
             ):
                 buffered_bytes -= connection.buffered_bytes
                 if connection.unsent_response_bytes > connection.buffered_bytes // 2:
-                    connection.abort()  # mostly unfetched responses: only closing frees them
+                    connection.abort()  # mostly unsent responses: only closing frees them
                 else:
                     connection.close_incomplete()
                 if buffered_bytes <= self._max_buffered_bytes:
--- a/badgeryoke/gateway/resp/upstream_connection.py
+++ b/badgeryoke/gateway/resp/upstream_connection.py
@@ -1,7 +1,7 @@
 """An upstream on RESP2: a connection pool, each connection of which carries one attempt at a time.
 
-Attempts are not pipelined.  Pipelined attempts would be answered in order, so a slow one would block those
-behind it, and abandoning one, which means closing its connection, would fail the others.
+Attempts are not pipelined: pipelined attempts would be answered in order, so a slow one would block those behind
+it, and cancelling one, which means closing its connection, would fail the others.
 """
 
 from __future__ import annotations
@@ -40,16 +40,17 @@
 
 # Fraction of the configured idle timeout after which a connection is no longer reused: the backend may close
 # it earlier than configured.
-IDLE_FRACTION = 0.5
-# A connection is not reused for this long after a response: its end may follow, or a duplicate response, which
-# nothing on the wire distinguishes from the response to the next attempt.
-REST_INTERVAL_S = 0.01
-# Silence in the middle of a response that ends the attempt: a wrong length, or a response without an end.
+IDLE_TIMEOUT_FRACTION = 0.5
+# A connection is not reused for this long after a response: the backend may close it, or send a duplicate response,
+# which nothing on the wire distinguishes from the response to the next attempt.
+REUSE_DELAY_S = 0.01
+# An attempt fails after this long without a byte in the middle of its response: the response states a wrong length
+# or is never completed.
 RESPONSE_SILENCE_TIMEOUT_MS = 50.0
 STREAM_SILENCE_TIMEOUT_MS = 3000.0  # the same for a streamed value
-STREAM_READ_BYTES = 16 * 1024  # read at once of a streamed value
+STREAM_READ_BYTES = 16 * 1024  # bytes of a streamed value read at a time
 MAX_LOAD_REPORT_BYTES = 256
-MAX_LOAD_FIGURE = 1e9  # bound of each figure in a load report
+MAX_REPORTED_VALUE = 1e9  # bound of each value in a load report
 MAX_CONNECTING = (
     8  # concurrent dials of one upstream; further attempts wait for these or for idle connections
 )
@@ -57,7 +58,7 @@
 
 
 def encode_request(request: Request, idempotent: bool, remaining_ms: float) -> bytes:
-    """Encode a request as a client would write it, with the time that this gateway will wait as its deadline."""
+    """Encode a request as a client does, with the time for which this gateway will wait as its deadline."""
     fields = [f"c={request.request_class}", f"t={request.plan}", f"d={max(math.ceil(remaining_ms), 1)}"]
     if request.idempotency_key:
         fields.append(f"k={request.idempotency_key}")
@@ -78,11 +79,11 @@
 
 
 def parse_load_report(text: bytes, names: tuple[str, ...]) -> tuple[float, ...]:
-    """Return the load report in the order of the configured names; empty where one is missing."""
-    given = parse_pairs(text[:MAX_LOAD_REPORT_BYTES])
-    if not all(name in given for name in names):
+    """Return the load report's values in the order of the configured names; empty if one is missing."""
+    figures = parse_pairs(text[:MAX_LOAD_REPORT_BYTES])
+    if not all(name in figures for name in names):
         return ()
-    return tuple(parse_number(given[name], MAX_LOAD_FIGURE) for name in names)
+    return tuple(parse_number(figures[name], MAX_REPORTED_VALUE) for name in names)
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,7 +97,7 @@
 def complete_attempt(
     attempt: Attempt, reply: Value, report_names: tuple[str, ...], max_units: float
 ) -> ResponseOutcome:
-    """End an attempt with the reply that came for it."""
+    """End an attempt with the reply received for it."""
     if isinstance(reply, ErrorReply):
         error_text = reply.decode("ascii", "replace")
         if error_text == "BUSY" or error_text.startswith("BUSY "):
@@ -115,31 +116,31 @@
     ):
         attempt.failed("malformed answer")
         return ResponseOutcome("answer is not an array that begins with a value", False)
-    value = reply[0] if type(reply[0]) is bytes else b""  # a streamed one has been forwarded already
-    use, load = ([*reply[1:], None, None])[:2]
-    # Cost and load report are parsed separately: an unreadable one is ignored, and the other and the response
-    # still count.
+    value = reply[0] if type(reply[0]) is bytes else b""  # a streamed value has been forwarded already
+    usage, load_report = ([*reply[1:], None, None])[:2]
+    # Cost and load report are parsed separately: if one cannot be parsed, it is ignored, and the other one and the
+    # response are still used.
     cost = 0.0
     report: tuple[float, ...] = ()
     fault = ""
     try:
-        if isinstance(use, bytes):
-            cost = parse_number(parse_pairs(use[:MAX_LOAD_REPORT_BYTES]).get("cost", "0"), max_units)
+        if isinstance(usage, bytes):
+            cost = parse_number(parse_pairs(usage[:MAX_LOAD_REPORT_BYTES]).get("cost", "0"), max_units)
     except ValueError:
         fault = "figures on use unreadable"
     try:
-        if isinstance(load, bytes):
-            report = parse_load_report(load, report_names)
+        if isinstance(load_report, bytes):
+            report = parse_load_report(load_report, report_names)
     except ValueError:
         fault = "load report unreadable"
-    if not isinstance(use, bytes | None) or not isinstance(load, bytes | None):
+    if not isinstance(usage, bytes | None) or not isinstance(load_report, bytes | None):
         fault = "figures on use or load are no strings"
     attempt.succeeded(value, cost, report)
     return ResponseOutcome(fault)
 
 
 class _PooledConnection:
-    """One connection of a pool.  Only its upstream touches it."""
+    """One connection of a pool, used only by its upstream."""
 
     def __init__(self, upstream: RespUpstream, address: tuple[str, int]) -> None:
         self.upstream = upstream
@@ -147,10 +148,10 @@
         self.last_used_ms = 0.0
         self.last_response_s = -math.inf  # on the event loop's clock
         self.connected = False
-        self.response_started = False  # a part of the response has come
-        self.last_received_ms = 0.0  # when the last byte of it came
+        self.response_started = False  # a part of the response has been received
+        self.last_received_ms = 0.0  # when the last byte of the response was received
         self.response_stream: ResponseStream | None = None  # set while a long value is being streamed
-        # Backpressure: nothing is read while the response stream is full; this event ends the wait.
+        # Backpressure: reading is suspended while the response stream is full, until this event is set.
         self.stream_has_capacity = asyncio.Event()
         self.backpressured = False
         self.parser = RespParser(max_items=8, max_streamed_bytes=MAX_STREAMED_BYTES)
@@ -196,13 +197,12 @@
         connect_ms: float,
         idle_ms: float,
         max_connections: int,
-        max_units: float = MAX_LOAD_FIGURE,
+        max_units: float = MAX_REPORTED_VALUE,
         buffer_budget: BufferBudget | None = None,
         lease: UpstreamLease | None = None,
     ) -> None:
         super().__init__(loop)
-        # Where the cluster enforces the server's connection limit, connections are opened and used only under a
-        # lease.
+        # If the cluster enforces the server's connection limit, connections are opened and used only under a lease.
         self.lease = lease
         self._buffer_budget = buffer_budget or BufferBudget(MAX_WINDOW_BYTES)
         self.address = address
@@ -210,14 +210,14 @@
         self._clock, self._report_names = clock, report_names
         self._connect_ms, self._idle_ms, self._max_connections = (
             connect_ms,
-            idle_ms * IDLE_FRACTION,
+            idle_ms * IDLE_TIMEOUT_FRACTION,
             max_connections,
         )
         self._idle: list[_PooledConnection] = []
         self._connections: dict[_PooledConnection, None] = {}
         self._connecting_count = 0
         self._pending: deque[Attempt] = deque()
-        self._rest_timer_set = False  # a timer is set for the end of a connection's rest
+        self._reuse_timer_set = False  # a timer is set for the end of a connection's reuse delay
         self._draining = False
         self._fault_logged = False
 
@@ -230,7 +230,7 @@
     ) -> None:
         """Apply new settings from the next attempt on."""
         self._report_names, self._max_units = report_names, max_units
-        self._connect_ms, self._idle_ms = connect_ms, idle_ms * IDLE_FRACTION
+        self._connect_ms, self._idle_ms = connect_ms, idle_ms * IDLE_TIMEOUT_FRACTION
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or on one opened for it."""
@@ -250,32 +250,32 @@
             self._open_connections()
 
     def _dispatch_pending(self) -> None:
-        """Send pending attempts while there are idle connections that have rested."""
+        """Send pending attempts while there are idle connections whose reuse delay is over."""
         while self._pending:
             attempt = self._pending[0]
             if attempt.may_be_written(now := self._clock()):
                 if (connection := self._take_idle_connection()) is None:
-                    self._schedule_rest_end()
+                    self._schedule_reuse()
                     return
                 self._pending.popleft()
                 self._send(connection, attempt, now)
-            # its client has disconnected or its deadline has passed: no connection is opened or used for it
+            # The client has disconnected or the deadline has passed: no connection is opened or used for the attempt.
             else:
                 self._pending.popleft()
                 attempt.on_abort = None
                 attempt.not_sent("too late to be sent")
 
     def _take_idle_connection(self) -> _PooledConnection | None:
-        """Take the most recently used idle connection that is clean and has rested; None if there is none.
+        """Take the most recently used idle connection that is clean and past its reuse delay; None if there is none.
 
-        One that has been idle for so long that its server may be closing it is closed instead.
+        A connection that has been idle for so long that its server may be closing it is closed instead.
         """
         if self.lease is not None and not self.lease.is_held():
             return None
-        rested_before_s = self._loop.time() - REST_INTERVAL_S
+        reusable_before_s = self._loop.time() - REUSE_DELAY_S
         used_since_ms = self._clock() - self._idle_ms
         for index in reversed(range(len(self._idle))):
-            if self._idle[index].last_response_s <= rested_before_s:
+            if self._idle[index].last_response_s <= reusable_before_s:
                 connection = self._idle.pop(index)
                 if connection.last_used_ms >= used_since_ms and self._is_clean(connection):
                     return connection
@@ -283,10 +283,10 @@
         return None
 
     def _is_clean(self, connection: _PooledConnection) -> bool:
-        """Whether a connection with nothing in flight is open and has no unread bytes.
+        """Whether a connection with no attempt in flight is open and has no unread bytes.
 
-        Unread bytes belong to no attempt: a duplicate of the last response would be taken for the response to
-        the next attempt, and at end of stream that attempt would be lost though it may have run.
+        Unread bytes belong to no attempt: a duplicate of the last response would be matched with the next attempt,
+        and at end of stream the next attempt would fail as one that may have run.
         """
         unread = self._unread(connection)
         if unread:
@@ -300,24 +300,28 @@
             return connection.stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return None
-        except (OSError, AttributeError):  # broken, or closed while the close event is still in the mailbox
+        except (OSError, AttributeError):  # failed, or closed while the close event is still in the mailbox
             return b""
 
-    def _schedule_rest_end(self) -> None:
-        """Set a timer to dispatch pending attempts when the first idle connection has rested."""
-        if self._idle and not self._rest_timer_set and (self.lease is None or self.lease.is_held()):
-            self._rest_timer_set = True
-            wait_s = min(one.last_response_s for one in self._idle) + REST_INTERVAL_S - self._loop.time()
-            self._loop.call_later(max(wait_s, 0.0), self.deliver, self._rest_ended)
+    def _schedule_reuse(self) -> None:
+        """Set a timer to dispatch pending attempts when the first idle connection's reuse delay is over."""
+        if self._idle and not self._reuse_timer_set and (self.lease is None or self.lease.is_held()):
+            self._reuse_timer_set = True
+            wait_s = (
+                min(connection.last_response_s for connection in self._idle)
+                + REUSE_DELAY_S
+                - self._loop.time()
+            )
+            self._loop.call_later(max(wait_s, 0.0), self.deliver, self._reuse_delay_ended)
 
-    def _rest_ended(self) -> None:
-        self._rest_timer_set = False
+    def _reuse_delay_ended(self) -> None:
+        self._reuse_timer_set = False
         self._dispatch_pending()
 
     def _open_connections(self) -> None:
         """Open connections for the pending attempts that the idle connections will not serve, within the bounds.
 
-        Waiting for an idle connection's rest takes less time than dialling a new one.
+        The reuse delay of an idle connection is shorter than dialling a new one.
         """
         lease = self.lease
         while (
@@ -353,13 +357,13 @@
         if connection not in self._connections or connection.connected:
             return
         if not self._is_clean(connection):
-            # treated as a refused connection: dialling again at once would loop without end
+            # Treated as a refused connection: dialling again at once could repeat without end.
             connection.stream.close()
             return
         connection.connected = True
         self._connecting_count -= 1
         self._release(connection)
-        self._open_connections()  # MAX_CONNECTING allows one more now
+        self._open_connections()  # MAX_CONNECTING allows another dial now
 
     def _release(self, connection: _PooledConnection) -> None:
         """Return a connection to the pool and dispatch pending attempts; close it if it is surplus."""
@@ -391,13 +395,15 @@
                     connection,
                     attempt,
                 )
-        elif future.exception() is None:  # otherwise the connection had ended before the request was complete
+        elif (
+            future.exception() is None
+        ):  # otherwise the connection ended before the request was written completely
             attempt.written()
 
     def _write_timed_out(self, connection: _PooledConnection, attempt: Attempt) -> None:
         """Close a connection whose write has not finished in time.
 
-        The last byte of the request starts the attempt at the backend, so it must not be sent any later.
+        The last byte of the request starts the attempt at the backend, so it must not be sent after `write_by_ms`.
         """
         if connection.attempt is attempt and connection.stream.writing():
             connection.stream.close()
@@ -405,15 +411,16 @@
     def data_received(self, connection: _PooledConnection, data: bytes) -> None:
         """Handle bytes of a response.
 
-        The first complete value is the response.  A connection that brings anything after it, or a malformed
-        response, is closed: bytes that come on it later could not be attributed to an attempt.
+        The first complete value is the response.  If anything follows it, or the response is malformed, the
+        connection is closed: later bytes could not be attributed to an attempt.
         """
         if connection not in self._connections:
             return
         attempt, parser = connection.attempt, connection.parser
         if attempt is None or connection.stream.writing():
-            # A request that was not sent completely has no response.  If the connection were reused, the rest of
-            # the request would reach a backend that has rejected it, while another attempt may be in flight.
+            # A response to a request that has not been sent completely is not used.  If the connection were reused,
+            # the rest of the request would reach a backend that has rejected it, while another attempt may be in
+            # flight.
             self._log_fault_once("sent an unsolicited response")
             connection.stream.close()
             return
@@ -453,7 +460,9 @@
         pieces, parser.stream_pieces = parser.stream_pieces, []
         if connection.response_stream is None:
             if not attempt.request.accepts_stream:
-                parser.fault = parser.fault or "length out of bounds"  # this client protocol cannot stream
+                parser.fault = (
+                    parser.fault or "length out of bounds"
+                )  # the client's protocol has no streamed values
                 return
             stream = connection.response_stream = ResponseStream(parser.stream_length, self._buffer_budget)
             stream.on_capacity = connection.stream_has_capacity.set
@@ -464,7 +473,7 @@
             connection.response_stream.finish()
 
     def _check_response_silence(self, connection: _PooledConnection, attempt: Attempt) -> None:
-        """Check whether a response that has started has been silent for too long."""
+        """End an attempt if no byte of its response has been received for too long after the response started."""
         if connection.response_started and connection.attempt is attempt:
             timeout_ms = (
                 RESPONSE_SILENCE_TIMEOUT_MS
@@ -483,9 +492,9 @@
     def _response_timed_out(
         self, connection: _PooledConnection, attempt: Attempt, last_received_ms: float
     ) -> None:
-        """End the attempt unless bytes have come meanwhile.
+        """End the attempt unless bytes have been received meanwhile.
 
-        A late event loop runs the timer before it reads bytes that arrived in time, so this runs one round
+        A delayed event loop runs the timer before it reads bytes that arrived in time, so this runs one iteration
         later and also peeks at the socket.
         """
         if connection.response_started and connection.attempt is attempt:
@@ -509,7 +518,7 @@
 
     @staticmethod
     def _finish_incomplete(connection: _PooledConnection, attempt: Attempt, end: Callable[[], None]) -> None:
-        """End an attempt whose response is incomplete; it still succeeds if its streamed value is complete."""
+        """End an attempt whose response is incomplete: it succeeds if its streamed value is complete, else `end()`."""
         stream, connection.response_stream = connection.response_stream, None
         if stream is not None and stream.complete:
             attempt.succeeded(b"")
@@ -540,21 +549,21 @@
             self._finish_incomplete(connection, attempt, lambda: attempt.connection_lost(detail))
         if not connection.connected:
             self._connecting_count -= 1
-            # Refused or timed out: pending attempts fail at once, unless another connection is being opened.
+            # Refused or timed out: pending attempts fail at once unless another connection is being opened.
             if not self._connecting_count:
                 self._fail_pending(str(connection.stream.error or "no connection in time"), len(self._idle))
-            return  # dialling again for each attempt would be refused without end, and no attempt would fail
+            return  # each new dial could be refused as well, without end, and no attempt would ever fail
         self._open_connections()
 
     def _fail_pending(self, detail: str, keep: int = 0) -> None:
-        """Fail pending attempts, except as many as `keep`: idle connections will serve those."""
+        """Fail pending attempts except the oldest `keep`, which idle connections will serve."""
         while len(self._pending) > keep:
             attempt = self._pending.pop()
             attempt.on_abort = None
             attempt.connection_lost(detail)
 
     def _log_fault_once(self, text: str) -> None:
-        """Log the first fault of a backend, and no further ones."""
+        """Log the first fault of this backend; further ones are not logged."""
         if not self._fault_logged:
             self._fault_logged = True
             log.warning("server %s:%d %s", *self.address, text)
@@ -565,22 +574,22 @@
 
     def _sweep(self) -> None:
         used_before_ms = self._clock() - self._idle_ms
-        for connection in [c for c in self._idle if c.last_used_ms < used_before_ms]:
+        for connection in [idle for idle in self._idle if idle.last_used_ms < used_before_ms]:
             self._idle.remove(connection)
             connection.stream.close()
 
     @property
     def connections_needed(self) -> int:
-        """See badgeryoke.gateway.cluster.upstream_lease.LeasedUpstream."""
+        """Connections in use, plus pending attempts, which need one each (see LeasedUpstream)."""
         return len(self._connections) - len(self._idle) - self._connecting_count + len(self._pending)
 
     def close_connections(self, count: int, include_in_use: bool) -> None:
-        """See badgeryoke.gateway.cluster.upstream_lease.LeasedUpstream."""
+        """Close up to `count` connections, idle ones first, others only if `include_in_use` (see LeasedUpstream)."""
         self.post(self._close_connections, count, include_in_use)
 
     def _close_connections(self, count: int, include_in_use: bool) -> None:
-        in_use = [one for one in self._connections if one not in self._idle] if include_in_use else []
-        for connection in [*self._idle, *in_use][:count]:  # the longest idle first
+        in_use = [used for used in self._connections if used not in self._idle] if include_in_use else []
+        for connection in [*self._idle, *in_use][:count]:  # idle connections first, the longest idle foremost
             if connection in self._idle:
                 self._idle.remove(connection)
             if self.lease is not None:
@@ -588,7 +597,7 @@
             connection.stream.close()
 
     def capacity_available(self) -> None:
-        """See badgeryoke.gateway.cluster.upstream_lease.LeasedUpstream."""
+        """Dispatch pending attempts and open connections: the lease allows more (see LeasedUpstream)."""
         self.post(self._capacity_available)
 
     def _capacity_available(self) -> None:
@@ -596,7 +605,7 @@
         self._open_connections()
 
     def drain(self) -> None:
-        """Send nothing more; attempts in flight still get their responses."""
+        """Send no further attempts; attempts in flight still get their responses."""
         self.post(self._drain_now)
 
     def _drain_now(self) -> None:
--- a/tests/gateway/resp/test_retries.py
+++ b/tests/gateway/resp/test_retries.py
@@ -351,7 +351,7 @@
 def test_a_late_duplicate_response_is_not_taken_for_another_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
     """Where no other connection was idle, one was used at once after its answer: a second copy that came some
     milliseconds later was taken for the next request's."""
-    monkeypatch.setattr(upstream_connection, "REST_INTERVAL_S", 60.0, raising=False)
+    monkeypatch.setattr(upstream_connection, "REUSE_DELAY_S", 60.0, raising=False)
 
     async def test() -> None:
         async with node() as at:
