--- a/badgeryoke/gateway/resp/codec.py
+++ b/badgeryoke/gateway/resp/codec.py
@@ -6,10 +6,10 @@
 from collections.abc import Iterable
 
 MAX_NUMBER_DIGITS = 20  # including the sign
-MAX_BULK_BYTES = 64 * 1024  # length of a bulk string that is buffered completely
+MAX_BULK_BYTES = 64 * 1024  # bound of a bulk string that is buffered completely
 MAX_STREAMED_BYTES = (
     4 * 1024 * 1024
-)  # length of a longer bulk string, which is streamed if the parser's owner allows it
+)  # bound of a longer one, which is streamed if the parser's owner allows it
 
 
 class _ProtocolError(Exception):
