--- a/badgeryoke/gateway/resp/codec.py
+++ b/badgeryoke/gateway/resp/codec.py
@@ -7,9 +7,8 @@
 
 MAX_NUMBER_DIGITS = 20  # including the sign
 MAX_BULK_BYTES = 64 * 1024  # bound of a bulk string that is buffered completely
-MAX_STREAMED_BYTES = (
-    4 * 1024 * 1024
-)  # bound of a longer one, which is streamed if the parser's owner allows it
+# Bound of a longer bulk string, which is streamed if the parser's owner allows it.
+MAX_STREAMED_BYTES = 4 * 1024 * 1024
 
 
 class _ProtocolError(Exception):
