--- a/badgeryoke/gateway/quota_counter/client.py
+++ b/badgeryoke/gateway/quota_counter/client.py
@@ -165,7 +165,7 @@
                 self._log_fault_once("sent an incomplete reply, connection closed")
                 connection.stream.close()
             elif connection.is_silent(now_ms, MAX_SILENT_TIMEOUTS * self._timeout_ms):
-                self._log_fault_once("silent, connection closed")
+                self._log_fault_once("sent no reply for too long, connection closed")
                 connection.stream.close()
 
     # Connections.
@@ -188,7 +188,7 @@
         try:
             self._connecting = CounterConnection(self, self._address)
         except OSError as error:  # no descriptor is free; one may be free at a later attempt
-            self._log_fault_once(f"no socket: {error}")
+            self._log_fault_once(f"cannot be dialled: no socket: {error}")
             self._schedule_connect(MAX_BACKOFF_S)
             return
         self._connections[self._connecting] = None
@@ -219,7 +219,7 @@
             replaced.stream.close()
         if self._unreachable_logged:
             self._unreachable_logged = False
-            log.info("counter connected again")
+            log.info("counter reconnected")
 
     def connection_closed(self, connection: CounterConnection) -> None:
         """End the calls in flight on a closed connection: they may have been counted.  Calls not sent yet were not."""
@@ -276,14 +276,14 @@
         in_flight, parser = connection.in_flight, connection.parser
         for value in parser.feed(data):
             if not in_flight:
-                self._abandon(connection, "sent a reply without a call")
+                self._abandon(connection, "sent an unsolicited reply")
                 return
             if not self._handle_reply(connection, in_flight.popleft(), value):
                 return
         if parser.fault:
-            self._abandon(connection, f"broke the protocol: {parser.fault}")
+            self._abandon(connection, f"violated the protocol: {parser.fault}")
         elif not in_flight and not parser.is_idle:
-            self._abandon(connection, "began a reply without a call")
+            self._abandon(connection, "sent part of an unsolicited reply")
         elif connection is not self._active and not in_flight:
             connection.stream.close()  # replaced after a change of address, and all its calls are answered
 
@@ -297,11 +297,11 @@
         if is_not_counted(value):
             connection.has_answered, self._backoff_s = True, INITIAL_BACKOFF_S
             if not value.startswith(OVERLOADED_PREFIX):
-                self._log_fault_once(f"error {bytes(value[:MAX_LOGGED_ERROR_BYTES])!r}")
+                self._log_fault_once(f"answered with error {bytes(value[:MAX_LOGGED_ERROR_BYTES])!r}")
             self._finish(call, Verdict.QUEUE_FULL)
             return True
         self._finish(call, Verdict.TIMEOUT)
-        self._abandon(connection, "sent a reply that is no total")
+        self._abandon(connection, "sent a reply that is not a total")
         return False
 
     def _abandon(self, connection: CounterConnection, fault: str) -> None:
--- a/badgeryoke/gateway/resp/client_connection.py
+++ b/badgeryoke/gateway/resp/client_connection.py
@@ -305,7 +305,7 @@
         elif values or self.command_started_s == math.inf:
             self.command_started_s = self._loop.time()
         if fault := self._parser.fault:
-            log.info("client broke the protocol: %s", fault)
+            log.info("client violated the protocol: %s", fault)
             self._slots.append(_ResponseSlot(error(f"ERR protocol: {fault}")))
             self._input_ended = self._closing = True
 
--- a/badgeryoke/gateway/resp/listener.py
+++ b/badgeryoke/gateway/resp/listener.py
@@ -114,7 +114,7 @@
             except ConnectionAbortedError:
                 continue
             except OSError as fault:  # out of descriptors or memory
-                self._log_saturation_once(f"none is accepted: {fault}")
+                self._log_saturation_once(f"accept failed: {fault}")
                 if self._evict_idle_connection(MIN_EVICTION_IDLE_S):
                     continue
                 self._pause_accepting()
--- a/badgeryoke/gateway/resp/upstream_connection.py
+++ b/badgeryoke/gateway/resp/upstream_connection.py
@@ -332,7 +332,7 @@
             try:
                 connection = _PooledConnection(self, self.address)
             except OSError as fault:
-                self._log_fault_once(f"no socket: {fault}")
+                self._log_fault_once(f"cannot be dialled: no socket: {fault}")
                 self._fail_pending(f"no socket: {fault}", len(self._idle))
                 return
             self._connecting_count += 1
