--- a/tests/gateway/resp/test_golden_resp.py
+++ b/tests/gateway/resp/test_golden_resp.py
@@ -1,4 +1,4 @@
-"""RESP2 and HTTP bytes: what clients are answered, and what servers, the counter and discovery are sent."""
+"""Golden RESP2 and HTTP bytes: responses to clients, and requests to servers, the counter and discovery."""
 
 from __future__ import annotations
 
@@ -16,8 +16,7 @@
 from badgeryoke.gateway.responses import Failed, Rejected, Response, Served, Streaming
 from tests.support.canonical import canonical
 from tests.support.golden_files import assert_golden, escaped_lines, text_lines
-from tests.support.running import run_test as play
-from tests.support.running import until
+from tests.support.running import run_test, until
 from tests.support.stand_ins import (
     HOST,
     NOW_MS,
@@ -31,12 +30,20 @@
     resp,
 )
 
-CLIENTS, ANSWERS, ATTEMPTS = "resp-client.txt", "resp-answers.txt", "resp-attempts.txt"
-CALLS, DISCOVERY, SETTLED = "counter-calls.txt", "discovery-requests.txt", "resp-settled.txt"
+CLIENT_RESPONSES_FILE, FINAL_RESPONSES_FILE, ATTEMPT_REQUESTS_FILE = (
+    "resp-client.txt",
+    "resp-answers.txt",
+    "resp-attempts.txt",
+)
+COUNTER_CALLS_FILE, DISCOVERY_REQUESTS_FILE, ATTEMPT_ENDS_FILE = (
+    "counter-calls.txt",
+    "discovery-requests.txt",
+    "resp-settled.txt",
+)
 
-# What clients are answered ----------------------------------------------------------------------------
+# Responses to clients ---------------------------------------------------------------------------------
 
-FINAL: tuple[tuple[str, Response], ...] = (
+FINAL_RESPONSES: tuple[tuple[str, Response], ...] = (
     ("served", Served(b"value", 2.0)),
     ("served, empty", Served(b"")),
     ("served, line ends", Served(b"a\r\nb\0")),
@@ -47,18 +54,18 @@
     ("failed, line end in the detail", Failed("a\r\nb")),
     ("a long value's head", Streaming(ResponseStream(100_000, BufferBudget(MAX_WINDOW_BYTES)))),
 )
-GOOD_LIST = "c=balance-check,t=dealer,d=60000,units=1,spread=2,first=0"
+VALID_FIELD_LIST = "c=balance-check,t=dealer,d=60000,units=1,spread=2,first=0"
 CUSTOMER = f"{5:016x}"
 
 
-def listed(old: str, new: str) -> bytes:
-    """A query whose list is changed in one place."""
-    return resp("SVC.QUERY", CUSTOMER, "r1", GOOD_LIST.replace(old, new))
+def query_with_field_list(old: str, new: str) -> bytes:
+    """Return a query whose field list differs from the valid one in one place."""
+    return resp("SVC.QUERY", CUSTOMER, "r1", VALID_FIELD_LIST.replace(old, new))
 
 
 COMMANDS: tuple[tuple[str, bytes], ...] = (
     ("query", query()),
-    ("small letters", resp("svc.query", CUSTOMER, "r1", GOOD_LIST)),
+    ("small letters", resp("svc.query", CUSTOMER, "r1", VALID_FIELD_LIST)),
     ("submit", query("r1", "load-send", key="5c0f6e1a2b3d4c59")),
     ("with a body", query(body="BODY")),
     ("PING", resp("PING")),
@@ -69,13 +76,13 @@
     ("no array", b"$4\r\nPING\r\n"),
     ("number for a name", b"*1\r\n:5\r\n"),
     ("too few words", resp("SVC.QUERY", CUSTOMER)),
-    ("customer too short", resp("SVC.QUERY", "5", "r1", GOOD_LIST)),
-    ("customer out of range", resp("SVC.QUERY", "f" * 16, "r1", GOOD_LIST)),
-    ("id with a blank", resp("SVC.QUERY", CUSTOMER, "r 1", GOOD_LIST)),
+    ("customer too short", resp("SVC.QUERY", "5", "r1", VALID_FIELD_LIST)),
+    ("customer out of range", resp("SVC.QUERY", "f" * 16, "r1", VALID_FIELD_LIST)),
+    ("id with a blank", resp("SVC.QUERY", CUSTOMER, "r 1", VALID_FIELD_LIST)),
     ("list too long", resp("SVC.QUERY", CUSTOMER, "r1", "x" * 2000)),
     ("list without pairs", resp("SVC.QUERY", CUSTOMER, "r1", "x")),
     *(
-        (f"no {key}", listed(part, ""))
+        (f"no {key}", query_with_field_list(part, ""))
         for key, part in (
             ("c", "c=balance-check,"),
             ("t", "t=dealer,"),
@@ -86,7 +93,7 @@
         )
     ),
     *(
-        (f"spoilt: {new}", listed(old, new))
+        (f"spoilt: {new}", query_with_field_list(old, new))
         for old, new in (
             ("d=60000", "d=x"),
             ("d=60000", "d=-1"),
@@ -108,7 +115,7 @@
     ),
     (
         "keyed without a key",
-        resp("SVC.SUBMIT", CUSTOMER, "r1", GOOD_LIST.replace("balance-check", "load-send")),
+        resp("SVC.SUBMIT", CUSTOMER, "r1", VALID_FIELD_LIST.replace("balance-check", "load-send")),
     ),
     ("no RESP2", b"GET / HTTP/1.1\r\n\r\n"),
     ("array too long", b"*99\r\n"),
@@ -120,72 +127,77 @@
 )
 
 
-async def whole_answer(reader: asyncio.StreamReader) -> bytes:
-    """The bytes of one answer."""
+async def read_response(reader: asyncio.StreamReader) -> bytes:
+    """Return the bytes of one response."""
     line = await reader.readuntil(b"\r\n")
     if not line.startswith(b"$"):
         return line
     return line + await reader.readexactly(int(line[1:]) + 2)
 
 
-def client_answers() -> list[tuple[str, bytes]]:
-    """What each command gets on a connection of its own."""
-    answers: list[tuple[str, bytes]] = []
+def responses_to_commands() -> list[tuple[str, bytes]]:
+    """Return the response to each command, each on a connection of its own."""
+    responses: list[tuple[str, bytes]] = []
 
     async def record() -> None:
         async with one_gateway() as (app, _, _):
             for name, command in COMMANDS:
                 reader, writer = await connect(app.lifecycle.address)
                 writer.write(command)
-                answers.append((name, await whole_answer(reader)))
+                responses.append((name, await read_response(reader)))
                 writer.close()
             reader, writer = await connect(app.lifecycle.address)
             writer.write(resp("GET") * 5)
-            answers.append(("many faults, to the connection's end", await reader.read()))
+            responses.append(("many faults, to the connection's end", await reader.read()))
             writer.close()
 
-    play(record)
-    return answers
+    run_test(record)
+    return responses
 
 
-def failed_answers() -> list[tuple[str, bytes]]:
-    """What a client gets where its query went wrong behind the gateway."""
-    answers: list[tuple[str, bytes]] = []
+def responses_to_failed_requests() -> list[tuple[str, bytes]]:
+    """Return the responses to a request that fails at the backend and to one with the id of a request in flight."""
+    responses: list[tuple[str, bytes]] = []
 
     async def record() -> None:
         async with one_gateway(script=[b"-ERR failed\r\n"] * 9) as (app, _, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("r1"))
-            answers.append(("server failed", await whole_answer(reader)))
+            responses.append(("server failed", await read_response(reader)))
             writer.close()
-        async with one_gateway(script=[None]) as (app, node, _):
+        async with one_gateway(script=[None]) as (app, backend, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("r1"))
-            await until(lambda: node.commands)
+            await until(lambda: backend.commands)
             writer.write(query("r1"))
-            other, second = await connect(app.lifecycle.address)
-            second.write(query("r1"))
-            answers.append(("id of an open request", await whole_answer(other)))
-            second.close()
+            other_reader, other_writer = await connect(app.lifecycle.address)
+            other_writer.write(query("r1"))
+            responses.append(("id of an open request", await read_response(other_reader)))
+            other_writer.close()
             writer.close()
 
-    play(record)
-    return answers
+    run_test(record)
+    return responses
 
 
-def test_each_final_answer_has_its_golden_bytes() -> None:
+def test_each_final_response_has_its_golden_bytes() -> None:
     assert_golden(
-        ANSWERS, escaped_lines((name, client_connection.encode_response(answer)) for name, answer in FINAL)
+        FINAL_RESPONSES_FILE,
+        escaped_lines(
+            (name, client_connection.encode_response(response)) for name, response in FINAL_RESPONSES
+        ),
     )
 
 
-def test_each_command_gets_its_golden_bytes() -> None:
-    assert_golden(CLIENTS, escaped_lines([*client_answers(), *failed_answers()]))
+def test_the_response_to_each_command_has_its_golden_bytes() -> None:
+    assert_golden(
+        CLIENT_RESPONSES_FILE, escaped_lines([*responses_to_commands(), *responses_to_failed_requests()])
+    )
 
 
-# What servers are sent --------------------------------------------------------------------------------
+# Requests to servers ----------------------------------------------------------------------------------
 
-QUERIES: tuple[tuple[str, Request, bool, float], ...] = (
+REQUESTS: tuple[tuple[str, Request, bool, float], ...] = (
     ("safe", Request("r1", "read", "plain", 5, 900.0, 1.0, 2), True, 899.2),
     (
         "keyed",
@@ -219,8 +231,8 @@
 )
 
 
-class Recorder(Standin):
-    """Takes whatever comes, up to the connection's end, and answers nothing."""
+class RecordingBackend(Standin):
+    """Records all bytes up to the end of each connection, and sends no responses."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -228,23 +240,23 @@
         self.ended = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        place = len(self.received)
+        index = len(self.received)
         self.received.append(b"")
         with contextlib.suppress(ConnectionError):
             while data := await reader.read(65536):
-                self.received[place] += data
+                self.received[index] += data
         self.ended.set()
 
 
-def cancelled_attempt() -> list[tuple[str, bytes]]:
-    """All bytes of a connection whose attempt is cancelled: its end is what cancels."""
+def bytes_of_cancelled_attempt() -> list[tuple[str, bytes]]:
+    """Return all bytes of a connection whose attempt is cancelled, which only closes it, and the attempt's end."""
     written: list[tuple[str, bytes]] = []
     ends: list[AttemptEnd] = []
 
     async def record() -> None:
-        async with Recorder() as node:
-            link = upstream_connection.RespUpstream(
-                (HOST, node.port),
+        async with RecordingBackend() as backend:
+            upstream = upstream_connection.RespUpstream(
+                (HOST, backend.port),
                 ActorScheduler(asyncio.get_running_loop()),
                 lambda: NOW_MS,
                 report_names=(),
@@ -252,48 +264,49 @@
                 idle_ms=30_000.0,
                 max_connections=4,
             )
-            out = asyncio.Event()
-            execution = Attempt(
-                QUERIES[1][1],
+            written_event = asyncio.Event()
+            attempt = Attempt(
+                REQUESTS[1][1],
                 0,
                 1,
                 NOW_MS,
                 NOW_MS + 900.0,
                 lambda _, end: ends.append(end),
-                on_written=out.set,
+                on_written=written_event.set,
             )
-            execution.request.idempotent = False
-            link.start(execution)
-            await out.wait()
-            execution.abort(api.Verdict.CANCELLED, final=True)
-            await node.ended.wait()
-            written.extend(("cancelled", data) for data in node.received)
-
-    play(record)
+            attempt.request.idempotent = False
+            upstream.start(attempt)
+            await written_event.wait()
+            attempt.abort(api.Verdict.CANCELLED, final=True)
+            await backend.ended.wait()
+            written.extend(("cancelled", data) for data in backend.received)
+
+    run_test(record)
     return [*written, *(("its end", canonical(end).encode()) for end in ends)]
 
 
-def settled() -> list[str]:
-    """How attempts end by what came back for them."""
+def attempt_ends_by_reply() -> list[str]:
+    """Return how attempts end, by the reply received for them."""
     lines = []
     for name, reply in REPLIES:
         ends: list[AttemptEnd] = []
-        execution = Attempt(QUERIES[0][1], 0, 1, NOW_MS, NOW_MS + 900.0, lambda _, end: ends.append(end))  # noqa: B023
-        execution.written()
-        left = upstream_connection.complete_attempt(execution, reply, ("latency_ms", "inflight"), 6.0)
-        lines.append(f"{name}: {canonical((ends, left))}")
+        attempt = Attempt(REQUESTS[0][1], 0, 1, NOW_MS, NOW_MS + 900.0, lambda _, end: ends.append(end))  # noqa: B023
+        attempt.written()
+        outcome = upstream_connection.complete_attempt(attempt, reply, ("latency_ms", "inflight"), 6.0)
+        lines.append(f"{name}: {canonical((ends, outcome))}")
     return lines
 
 
-def test_each_attempt_is_written_in_its_golden_bytes() -> None:
+def test_each_attempt_is_written_with_its_golden_bytes() -> None:
     attempts = [
-        (name, upstream_connection.encode_request(asked, safe, left)) for name, asked, safe, left in QUERIES
+        (name, upstream_connection.encode_request(request, idempotent, remaining_ms))
+        for name, request, idempotent, remaining_ms in REQUESTS
     ]
-    assert_golden(ATTEMPTS, escaped_lines([*attempts, *cancelled_attempt()]))
+    assert_golden(ATTEMPT_REQUESTS_FILE, escaped_lines([*attempts, *bytes_of_cancelled_attempt()]))
 
 
-def test_each_reply_ends_an_attempt_in_the_golden_way() -> None:
-    assert_golden(SETTLED, text_lines(settled()))
+def test_each_reply_ends_an_attempt_as_in_the_golden_file() -> None:
+    assert_golden(ATTEMPT_ENDS_FILE, text_lines(attempt_ends_by_reply()))
 
 
 # The counter and discovery ----------------------------------------------------------------------------
@@ -305,22 +318,24 @@
     (7, -1.5, 999.5),
     (7, 1e6, 60_000.0),
 )
-TOTALS = (b"5", b"5.25", b"-1", b"+.5e3", b"1e999", b"", b"x", b"1_0", b"nan", b" 5", b"1" * 65)
+TOTAL_REPLIES = (b"5", b"5.25", b"-1", b"+.5e3", b"1e999", b"", b"x", b"1_0", b"nan", b" 5", b"1" * 65)
 
 
-def counter_lines() -> bytes:
-    """Calls as they are written, and totals as they are read."""
-    calls = [(f"{call}", encode_increment(*call)) for call in COUNTER_CALLS]
-    return escaped_lines(calls) + text_lines(f"{total!r}: {parse_total(total)}" for total in TOTALS)
+def counter_call_lines() -> bytes:
+    """Return encoded calls, and the totals parsed from replies."""
+    encoded_calls = [(f"{call}", encode_increment(*call)) for call in COUNTER_CALLS]
+    return escaped_lines(encoded_calls) + text_lines(
+        f"{total!r}: {parse_total(total)}" for total in TOTAL_REPLIES
+    )
 
 
-class DiscoveryRecorder(Standin):
-    """Answers with the whole list, then with a change, and keeps the heads of all requests."""
+class RecordingDiscovery(Standin):
+    """Responds with a full endpoint list, then with a change, and records the heads of all requests."""
 
     def __init__(self) -> None:
         super().__init__()
         self.heads: list[bytes] = []
-        self.third = asyncio.Event()
+        self.third_request = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         for full, version in ((True, 4), (False, 9)):
@@ -328,35 +343,35 @@
             body = json.dumps({"version": version, "full": full, "servers": [entry("a", 1)]}).encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         self.heads.append(await reader.readuntil(b"\r\n\r\n"))
-        self.third.set()
+        self.third_request.set()
         await reader.read()
 
 
 def discovery_requests() -> list[tuple[str, bytes]]:
-    """The first requests to discovery; the port stands as PORT."""
+    """Return the first requests to discovery, with PORT in place of the port number."""
     heads: list[bytes] = []
 
     async def record() -> None:
-        async with DiscoveryRecorder() as discovery:
+        async with RecordingDiscovery() as discovery:
             async with gateway(config(discovery.port, None)):
-                await discovery.third.wait()
-            asked = dict.fromkeys(discovery.heads)  # on a machine that stalls one is asked again
-            heads.extend(head.replace(b":%d\r\n" % discovery.port, b":PORT\r\n") for head in asked)
+                await discovery.third_request.wait()
+            distinct_heads = dict.fromkeys(discovery.heads)  # a stalled machine repeats a request
+            heads.extend(head.replace(b":%d\r\n" % discovery.port, b":PORT\r\n") for head in distinct_heads)
 
-    play(record)
+    run_test(record)
     return [(f"request {number}", head) for number, head in enumerate(heads, 1)]
 
 
-def test_the_counter_is_called_in_the_golden_bytes() -> None:
-    assert_golden(CALLS, counter_lines())
+def test_counter_calls_have_their_golden_bytes() -> None:
+    assert_golden(COUNTER_CALLS_FILE, counter_call_lines())
 
 
-def test_discovery_is_asked_in_the_golden_bytes() -> None:
-    assert_golden(DISCOVERY, escaped_lines(discovery_requests()))
+def test_discovery_requests_have_their_golden_bytes() -> None:
+    assert_golden(DISCOVERY_REQUESTS_FILE, escaped_lines(discovery_requests()))
 
 
-def test_what_is_written_for_a_server_is_read_back_whole() -> None:
-    """The golden bytes are sound RESP2: the parser of the other side finds one command in each."""
-    for _, asked, safe, left in QUERIES:
-        [command] = RespParser().feed(upstream_connection.encode_request(asked, safe, left))
-        assert isinstance(command, list) and command[2] == asked.id.encode()
+def test_an_encoded_request_is_parsed_as_one_command() -> None:
+    """The golden bytes are valid RESP2: a parser finds exactly one command in each request."""
+    for _, request, idempotent, remaining_ms in REQUESTS:
+        [command] = RespParser().feed(upstream_connection.encode_request(request, idempotent, remaining_ms))
+        assert isinstance(command, list) and command[2] == request.id.encode()
