--- a/tests/gateway/resp/test_client_connection.py
+++ b/tests/gateway/resp/test_client_connection.py
@@ -154,7 +154,9 @@
 MALFORMED = [
     pytest.param(resp("SVC.QUERY", "0" * 16), True, id="too few arguments"),
     pytest.param(resp("SVC.QUERY", "z" * 16, "r", "c=balance-check"), True, id="customer is not a number"),
-    pytest.param(resp("SVC.QUERY", "0x" + "1" * 14, "r", "c=balance-check"), True, id="customer with a 0x prefix"),
+    pytest.param(
+        resp("SVC.QUERY", "0x" + "1" * 14, "r", "c=balance-check"), True, id="customer with a 0x prefix"
+    ),
     pytest.param(query(cls="load-send"), True, id="no idempotency key in a class that requires one"),
     pytest.param(resp("SVC.QUERY", "f" * 16, "r", "c=balance-check"), True, id="customer too large"),
     pytest.param(query(cls="lottery"), True, id="unknown class"),
--- a/tests/gateway/test_parsers.py
+++ b/tests/gateway/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers of wires and files: tables of valid and malformed input."""
+"""Parsers of protocols and files: tables of valid and malformed input."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from tests.support.paths import ROOT
 from tests.support.stand_ins import avp, avps, ccr, entry
 
-RESP = [
+RESP_INPUTS = [
     (b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n", [[b"PING", b""]]),
     (b"+OK\r\n-BUSY 20\r\n:-3\r\n", [Status(b"OK"), ErrorReply(b"BUSY 20"), -3]),
     (b"$-1\r\n*-1\r\n*0\r\n", [None, None, []]),
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(
     ("data", "values"),
-    RESP,
+    RESP_INPUTS,
     ids=[
         "commands",
         "simple strings, errors and integers",
@@ -43,12 +43,16 @@
         "line ends in a bulk string",
     ],
 )
-def test_resp_values_are_parsed_in_any_pieces(data: bytes, values: list[Any]) -> None:
+def test_resp_values_are_parsed_however_the_input_is_split(data: bytes, values: list[Any]) -> None:
     at_once = RespParser()
     assert at_once.feed(data) == values and at_once.is_idle
     pieces = RespParser()
-    got = [value for n in range(len(data)) for value in pieces.feed(data[n : n + 1])]
-    assert got == values and [type(v) for v in got] == [type(v) for v in values] and pieces.is_idle
+    parsed_in_pieces = [value for n in range(len(data)) for value in pieces.feed(data[n : n + 1])]
+    assert (
+        parsed_in_pieces == values
+        and [type(item) for item in parsed_in_pieces] == [type(item) for item in values]
+        and pieces.is_idle
+    )
 
 
 @pytest.mark.parametrize(
@@ -87,9 +91,9 @@
 
 
 def test_encoded_resp_parses_back() -> None:
-    words = [b"SVC.QUERY", b"", b"\r\n"]
-    assert RespParser().feed(command(words) + bulk(b"v") + error("ERR two\r\nlines")) == [
-        words,
+    arguments = [b"SVC.QUERY", b"", b"\r\n"]
+    assert RespParser().feed(command(arguments) + bulk(b"v") + error("ERR two\r\nlines")) == [
+        arguments,
         b"v",
         ErrorReply(b"ERR two lines"),
     ]
@@ -114,8 +118,8 @@
         "array of null",
     ],
 )
-def test_the_fast_path_parses_complete_commands_like_those_in_pieces(tail: bytes) -> None:
-    """Complete commands take a shorter way through the parser."""
+def test_the_fast_path_parses_commands_like_the_general_parser(tail: bytes) -> None:
+    """Complete commands are parsed by a fast path of the parser."""
     data = command([b"SVC.QUERY", b"", b"\r\n$1"]) + command([b"x" * 100]) + tail
     at_once, pieces = RespParser(), RespParser()
     in_pieces = [value for n in range(len(data)) for value in pieces.feed(data[n : n + 1])]
@@ -148,7 +152,7 @@
 
 
 BODY = b'{"version":1}'
-HTTP = [
+HTTP_RESPONSES = [
     (b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n" + BODY, True),
     (
         b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n4\r\n"
@@ -165,13 +169,13 @@
 
 @pytest.mark.parametrize(
     ("data", "keep"),
-    HTTP,
+    HTTP_RESPONSES,
     ids=["content length", "chunked", "connection close", "1xx first"],
 )
-def test_an_http_response_is_parsed_in_any_pieces(data: bytes, keep: bool) -> None:
+def test_an_http_response_is_parsed_however_the_input_is_split(data: bytes, keep_alive: bool) -> None:
     response = HttpResponse()
     assert [response.feed(data[n : n + 1]) for n in range(len(data))] == [False] * (len(data) - 1) + [True]
-    assert (response.status, bytes(response.body), response.keep_alive) == (200, BODY, keep)
+    assert (response.status, bytes(response.body), response.keep_alive) == (200, BODY, keep_alive)
 
 
 @pytest.mark.parametrize(
@@ -186,12 +190,12 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
     ids=[
-        "no HTTP",
+        "not HTTP",
         "503",
         "negative length",
-        "too large a length",
+        "length too large",
         "endless status line",
-        "too large a head",
+        "header too large",
         "malformed chunk size",
     ],
 )
@@ -214,7 +218,7 @@
         {"servers": [{**entry("a", 1), "state": []}]},
         {"servers": [{**entry("a", 1), "started_ms": True}]},
         {"version": "1", "servers": []},
-        # Numbers beyond a float, and host names, which would be resolved in the event loop.
+        # Numbers beyond a float's range, and host names, whose resolution would block the event loop.
         {"servers": [{**entry("a", 1), "weight": 10**400}]},
         {"servers": [{**entry("a", 1), "addr": "runner:80"}]},
         {"servers": [{**entry("a", 1), "addr": "a\0b:80"}]},
@@ -259,14 +263,16 @@
     ]
 
 
-def test_diameter_is_framed_in_any_pieces() -> None:
+def test_diameter_messages_are_framed_however_the_input_is_split() -> None:
     data = ccr(7) + ccr(8, number=1)
     framer = codec.Framer()
-    got = [m for n in range(len(data)) for m in framer.feed(data[n : n + 1])]
+    messages = [message for n in range(len(data)) for message in framer.feed(data[n : n + 1])]
     assert (
-        [m.end_to_end_id for m in got] == [7, 8] and not framer.has_partial_message and framer.fault is None
+        [message.end_to_end_id for message in messages] == [7, 8]
+        and not framer.has_partial_message
+        and framer.fault is None
     )
-    assert b"".join(m.encode() for m in got) == data
+    assert b"".join(message.encode() for message in messages) == data
 
 
 @pytest.mark.parametrize(
@@ -286,20 +292,24 @@
         "too many",
     ],
 )
-def test_malformed_avps_are_a_fault_with_a_result_code(body: bytes, result: int) -> None:
+def test_malformed_avps_are_a_fault_with_a_result_code(body: bytes, result_code: int) -> None:
     fault = codec.read_avps(body)
-    assert isinstance(fault, codec.Fault) and fault.result_code == result
+    assert isinstance(fault, codec.Fault) and fault.result_code == result_code
 
 
 def test_avps_are_padded_and_read_back() -> None:
-    made = [codec.text_avp(263, "abc"), codec.Avp(7, b"\1\2\3\4\5", 0, 10415), codec.units_avp(437, 3)]
-    data = codec.encode_avps(made)
-    assert codec.read_avps(data) == made and len(data) % 4 == 0
-    assert avps(data)[263] == b"abc" and codec.read_units(made[2]) == 3
+    sample_avps = [
+        codec.text_avp(263, "abc"),
+        codec.Avp(7, b"\1\2\3\4\5", 0, 10415),
+        codec.units_avp(437, 3),
+    ]
+    data = codec.encode_avps(sample_avps)
+    assert codec.read_avps(data) == sample_avps and len(data) % 4 == 0
+    assert avps(data)[263] == b"abc" and codec.read_units(sample_avps[2]) == 3
 
 
 def test_the_idempotency_key_derives_from_the_complete_request_identity_alone() -> None:
-    one = RequestIdentity("h", 1, "s", 0)
+    identity = RequestIdentity("h", 1, "s", 0)
     others = [
         RequestIdentity("h2", 1, "s", 0),
         RequestIdentity("h", 2, "s", 0),
@@ -307,26 +317,28 @@
         RequestIdentity("h", 1, "s", 1),
         RequestIdentity("h1", 1, "s", 0),
     ]
-    assert one.key() == RequestIdentity("h", 1, "s", 0).key() == "47218e1462e4d40f"
-    assert len({one.key(), *(other.key() for other in others)}) == 6
+    assert identity.key() == RequestIdentity("h", 1, "s", 0).key() == "47218e1462e4d40f"
+    assert len({identity.key(), *(other.key() for other in others)}) == 6
 
 
-def test_answers_are_cached_for_their_time_and_within_bounds() -> None:
-    at = [0.0]
-    repeats = DuplicateRequests(240.0, lambda: at[0], max_requests=1)
+def test_responses_are_cached_until_they_expire_and_within_bounds() -> None:
+    now = [0.0]
+    duplicates = DuplicateRequests(240.0, lambda: now[0], max_requests=1)
     from badgeryoke.gateway.responses import Failed
 
     first = RequestIdentity("h", 1, "s", 0)
-    entry_ = repeats.begin(first)
-    assert entry_ is not None and repeats.begin(RequestIdentity("h", 2, "t", 0)) is None  # full
-    repeats.end(entry_, Failed("x"), keep=True)
-    at[0] = 239.0
-    assert repeats.find(first) is entry_
-    at[0] = 241.0
-    assert repeats.find(first) is None and repeats.begin(first) is not None
+    cached = duplicates.begin(first)
+    assert (
+        cached is not None and duplicates.begin(RequestIdentity("h", 2, "t", 0)) is None
+    )  # the register is full
+    duplicates.end(cached, Failed("x"), keep=True)
+    now[0] = 239.0
+    assert duplicates.find(first) is cached
+    now[0] = 241.0
+    assert duplicates.find(first) is None and duplicates.begin(first) is not None
 
 
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:6379",
     "discovery": "127.0.0.1:8500",
@@ -338,7 +350,7 @@
 }
 
 
-def written(tmp_path: Path, raw: Any, diameter: str = "") -> dict[str, str]:
+def write_config(tmp_path: Path, raw: Any, diameter: str = "") -> dict[str, str]:
     (tmp_path / "config.json").write_text(raw if isinstance(raw, str) else json.dumps(raw))
     (tmp_path / "deploy").mkdir()
     if diameter:
@@ -347,10 +359,10 @@
 
 
 def test_configuration_is_read_with_its_defaults(tmp_path: Path) -> None:
-    made = read_config({**written(tmp_path, GOOD), "LB_LISTEN": "127.0.0.2:1"}, tmp_path)
-    assert made.listen == ("127.0.0.2", 1) and made.seed == 0x8C1F and made.sockets == 512
-    assert made.connect_ms == 250 and made.diameter is None
-    assert made.known is not None and made.known.endpoints[0].id == "a"
+    parsed = read_config({**write_config(tmp_path, VALID_CONFIG), "LB_LISTEN": "127.0.0.2:1"}, tmp_path)
+    assert parsed.listen == ("127.0.0.2", 1) and parsed.seed == 0x8C1F and parsed.sockets == 512
+    assert parsed.connect_ms == 250 and parsed.diameter is None
+    assert parsed.known is not None and parsed.known.endpoints[0].id == "a"
 
 
 @pytest.mark.parametrize(
@@ -380,7 +392,7 @@
         "discovery",
         "counter missing",
         "counter not an address",
-        "counter a host name",
+        "counter with a host name",
         "seed",
         "limits",
         "sockets",
@@ -395,17 +407,17 @@
 )
 def test_invalid_configuration_names_its_key(change: dict[str, Any], key: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=key):
-        read_config(written(tmp_path, {**GOOD, **change}), tmp_path)
+        read_config(write_config(tmp_path, {**VALID_CONFIG, **change}), tmp_path)
 
 
 def test_configuration_that_is_not_json_raises(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="LB_CONFIG"):
         read_config({}, tmp_path)
     with pytest.raises(ConfigError, match="LB_CONFIG"):
-        read_config(written(tmp_path, "{"), tmp_path)
+        read_config(write_config(tmp_path, "{"), tmp_path)
 
 
-ON = 'enabled = true\norigin_host = "g.example"\norigin_realm = "example"\n'
+ENABLED_DIAMETER = 'enabled = true\norigin_host = "g.example"\norigin_realm = "example"\n'
 
 
 @pytest.mark.parametrize(
@@ -413,29 +425,29 @@
     [
         ("enabled = 1", "enabled"),
         ("enabled = true", "origin_host"),
-        (ON + 'listen = "x"', "listen"),
-        (ON + 'listen = "192.0.2.1:3868"', "listen"),
-        (ON + 'clients = "a"', "clients"),
-        (ON + "watchdog_s = 1", "watchdog_s"),
-        (ON + '[plans]\nx = "plain"', "plans.x"),
-        (ON + '[plans]\n1 = "gold"', "plans.1"),
+        (ENABLED_DIAMETER + 'listen = "x"', "listen"),
+        (ENABLED_DIAMETER + 'listen = "192.0.2.1:3868"', "listen"),
+        (ENABLED_DIAMETER + 'clients = "a"', "clients"),
+        (ENABLED_DIAMETER + "watchdog_s = 1", "watchdog_s"),
+        (ENABLED_DIAMETER + '[plans]\nx = "plain"', "plans.x"),
+        (ENABLED_DIAMETER + '[plans]\n1 = "gold"', "plans.1"),
         ("enabled", "diameter.toml"),
-        (ON + "[plans]\n1 = 1", "plans.1"),
-        (ON + '[classes]\ncheck = "gold"', "classes.check"),
-        (ON + '[classes]\ndebit = "read"', "classes.debit"),
-        (ON + '[classes]\npay = "read"', "classes.pay"),
-        (ON + "[classes]\ncheck = []", "classes.check"),
+        (ENABLED_DIAMETER + "[plans]\n1 = 1", "plans.1"),
+        (ENABLED_DIAMETER + '[classes]\ncheck = "gold"', "classes.check"),
+        (ENABLED_DIAMETER + '[classes]\ndebit = "read"', "classes.debit"),
+        (ENABLED_DIAMETER + '[classes]\npay = "read"', "classes.pay"),
+        (ENABLED_DIAMETER + "[classes]\ncheck = []", "classes.check"),
     ],
     ids=[
         "enabled not a boolean",
         "no origin host",
         "listen not an address",
-        "listen beyond loopback",
+        "listen address not a loopback address",
         "clients not a list",
         "watchdog too short",
         "plan key not a number",
         "unknown plan",
-        "no TOML",
+        "not TOML",
         "plan not a string",
         "check class unknown",
         "debit class idempotent",
@@ -445,24 +457,24 @@
 )
 def test_an_invalid_diameter_file_names_its_key(text: str, key: str, tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=key):
-        read_config(written(tmp_path, GOOD, text), tmp_path)
+        read_config(write_config(tmp_path, VALID_CONFIG, text), tmp_path)
 
 
 def test_the_diameter_file_enables_diameter(tmp_path: Path) -> None:
-    text = ON + 'listen = "127.0.0.1:3868"\n[plans]\n1 = "plain"\n[classes]\ncheck = "read"'
-    made = read_config(written(tmp_path, GOOD, text), tmp_path)
-    assert made.diameter is not None and made.diameter.plans == {1: "plain"}
-    assert made.diameter.listen == ("127.0.0.1", 3868) and made.diameter.check_class == "read"
-    alone = read_diameter(
+    text = ENABLED_DIAMETER + 'listen = "127.0.0.1:3868"\n[plans]\n1 = "plain"\n[classes]\ncheck = "read"'
+    parsed = read_config(write_config(tmp_path, VALID_CONFIG, text), tmp_path)
+    assert parsed.diameter is not None and parsed.diameter.plans == {1: "plain"}
+    assert parsed.diameter.listen == ("127.0.0.1", 3868) and parsed.diameter.check_class == "read"
+    file_alone = read_diameter(
         tmp_path / "deploy/diameter.toml", Settings(0, 1, "", 1.0, (), ())
-    )  # badgeryoke check
-    assert alone == made.diameter
+    )  # as `badgeryoke check` reads it
+    assert file_alone == parsed.diameter
 
 
 def test_the_diameter_file_in_the_repository_is_disabled_and_valid(tmp_path: Path) -> None:
     text = (ROOT / "deploy/diameter.toml").read_text()
     assert (
-        read_config(written(tmp_path, GOOD, text), tmp_path).diameter is None
-    )  # and names no plan of any site
+        read_config(write_config(tmp_path, VALID_CONFIG, text), tmp_path).diameter is None
+    )  # disabled, without plans of a site
     (tmp_path / "deploy/diameter.toml").write_text(text.replace("enabled = false", "enabled = true"))
     assert read_config({"LB_CONFIG": str(tmp_path / "config.json")}, tmp_path).diameter is not None
