--- a/badgeryoke/gateway/quota_counter/client.py
+++ b/badgeryoke/gateway/quota_counter/client.py
@@ -46,7 +46,7 @@
         self._timeout_ms = max(timeout_ms, MIN_TIMEOUT_MS)
         self._active: CounterConnection | None = None
         self._connecting: CounterConnection | None = None
-        # In the order of opening, including replaced ones until their calls are answered.
+        # In the order of opening; replaced connections are included until their calls are answered.
         self._connections: dict[CounterConnection, None] = {}
         self._unsent: list[CounterCall] = []
         self._pending: deque[CounterCall] = deque()  # calls that have not been expired yet; oldest first
@@ -307,9 +307,8 @@
     def _abandon(self, connection: CounterConnection, fault: str) -> None:
         self._log_fault_once(fault)
         connection.stream.close()
-        self.connection_closed(
-            connection
-        )  # called here, so that this turn writes nothing more to the connection
+        # Called here, so that this turn writes nothing more to the connection.
+        self.connection_closed(connection)
 
     def _log_fault_once(self, text: str) -> None:
         """Log the counter's first fault; further ones are not logged."""
--- a/badgeryoke/gateway/resp/client_connection.py
+++ b/badgeryoke/gateway/resp/client_connection.py
@@ -34,10 +34,8 @@
 log = logging.getLogger(__name__)
 N = TypeVar("N", int, float)
 
-COMMANDS = {
-    b"SVC.QUERY": True,
-    b"SVC.SUBMIT": False,
-}  # whether the request classes of the command are idempotent
+# For each command, whether its request classes are idempotent.
+COMMANDS = {b"SVC.QUERY": True, b"SVC.SUBMIT": False}
 # A request id or an idempotency key: printable, without blank or comma.
 REQUEST_ID_PATTERN = re.compile(r"[!-+\--~]{1,64}")
 MAX_FIELD_LIST_BYTES = 1024  # length of the argument with the name=value fields
@@ -54,9 +52,7 @@
 # streams read chunks of the same size, so that no bytes are buffered between the socket and the turn.
 READ_CHUNK_BYTES = 4096
 DISCONNECT_CHECK_INTERVAL_S = 0.05  # while backpressure suspends reading from a client
-MAX_UNSENT_BYTES = (
-    128 * 1024
-)  # bound of responses in the stream's write buffer; a single response may be longer
+MAX_UNSENT_BYTES = 128 * 1024  # bound of the stream's write buffer; a single response may be longer
 STREAM_CHUNK_BYTES = 32 * 1024  # chunk of a streamed value; the next one is written when this one is sent
 PONG, OK = b"+PONG\r\n", b"+OK\r\n"
 
@@ -181,9 +177,7 @@
         self._last_write_s = -math.inf  # when a response was last written
         self._may_read = asyncio.Event()
         self.has_sent_command = False  # a complete command has been received
-        self.idle_since_s = (
-            loop.time()
-        )  # when a request was last in flight, or when the connection was opened
+        self.idle_since_s = loop.time()  # when a request was last in flight, or the connection was opened
         self.write_stalled_since_s = math.inf  # since when responses wait for the client to read them
         self.opened_at_s = self.idle_since_s
         self._draining = False  # the connection closes between requests
@@ -435,13 +429,13 @@
             self._has_unhandled_data
             or (not self._grace_expired and (not self._parser.is_idle or _has_unread_data(self._stream)))
         ):
-            return  # sent before the close: it is read and answered, and that turn calls this method again
+            return  # requests sent before the close are read and answered, and that turn calls this method again
         if not self._output_ended:
             self._output_ended = True
-            if (
-                self._loop.time() - self._last_write_s >= LINGER_S
-            ):  # the client has received its last response
-                self._stream.close()  # requests that arrive during the close are not read; the client retries them
+            if self._loop.time() - self._last_write_s >= LINGER_S:
+                # The client has received its last response.  Requests that arrive during the close are not read, and
+                # the client retries them.
+                self._stream.close()
                 return
             with contextlib.suppress(OSError):
                 self._stream.socket.shutdown(socket.SHUT_WR)
@@ -476,7 +470,7 @@
         self._closing = True
 
     def _disconnected(self) -> None:
-        """The connection has closed: cancel its requests in flight."""
+        """Cancel the requests in flight of a connection that has closed."""
         slots, self._slots = self._slots, deque()
         self._may_read.set()
         for slot in slots:
--- a/badgeryoke/gateway/resp/listener.py
+++ b/badgeryoke/gateway/resp/listener.py
@@ -29,7 +29,7 @@
 WRITE_STALL_TIMEOUT_S = 2.5  # for a client to read its responses
 STREAM_STALL_TIMEOUT_S = 10.0  # for a client to read a chunk of a streamed value
 BACKLOG = 512  # length of the kernel's accept queue
-MAX_ACCEPTS_PER_TURN = 64  # then other work gets the event loop
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted before other work runs
 # Beyond the bound on connections, further ones are accepted only to be rejected: this fraction of the bound, but at
 # least the minimum.  The rest wait in the kernel's accept queue, and accepting is retried after the interval.
 REJECTED_CONNECTIONS_FRACTION, MIN_REJECTED_CONNECTIONS, ACCEPT_RETRY_INTERVAL_S = 1 / 16, 4, 0.05
@@ -140,10 +140,10 @@
             connection.drain()
         self.connections[connection] = asyncio.ensure_future(connection.serve())
 
-    def _log_saturation_once(self, why: str) -> None:
+    def _log_saturation_once(self, reason: str) -> None:
         if not self._saturation_logged:
             self._saturation_logged = True
-            log.warning("clients are rejected: %s", why)
+            log.warning("clients are rejected: %s", reason)
 
     def limit_connections(self, fraction: float) -> None:
         """Use a fraction of the configured bound on connections."""
@@ -178,9 +178,8 @@
         if longest_idle is None:
             return False
         longest_idle[1].abort()  # is_idle was checked in this turn: the connection has no unread data
-        self._connection_closed(
-            longest_idle[1]
-        )  # no longer counted, though its close event is still in the mailbox
+        # Not counted any more, although its close event is still in the mailbox.
+        self._connection_closed(longest_idle[1])
         return True
 
     def sweep(self) -> None:
--- a/badgeryoke/gateway/resp/upstream_connection.py
+++ b/badgeryoke/gateway/resp/upstream_connection.py
@@ -51,9 +51,7 @@
 STREAM_READ_BYTES = 16 * 1024  # bytes of a streamed value read at a time
 MAX_LOAD_REPORT_BYTES = 256
 MAX_REPORTED_VALUE = 1e9  # bound of each value in a load report
-MAX_CONNECTING = (
-    8  # concurrent dials of one upstream; further attempts wait for these or for idle connections
-)
+MAX_CONNECTING = 8  # concurrent dials of one upstream; further attempts wait for an open connection
 MAX_READ_BUFFER_BYTES = 256 * 1024  # bound of the stream's read buffer
 
 
@@ -357,7 +355,7 @@
         if connection not in self._connections or connection.connected:
             return
         if not self._is_clean(connection):
-            # Treated as a refused connection: dialling again at once could repeat without end.
+            # Treated like a refused connection: dialling again at once could repeat without end.
             connection.stream.close()
             return
         connection.connected = True
@@ -395,9 +393,7 @@
                     connection,
                     attempt,
                 )
-        elif (
-            future.exception() is None
-        ):  # otherwise the connection ended before the request was written completely
+        elif future.exception() is None:  # otherwise the connection ended before the write was complete
             attempt.written()
 
     def _write_timed_out(self, connection: _PooledConnection, attempt: Attempt) -> None:
@@ -460,9 +456,8 @@
         pieces, parser.stream_pieces = parser.stream_pieces, []
         if connection.response_stream is None:
             if not attempt.request.accepts_stream:
-                parser.fault = (
-                    parser.fault or "length out of bounds"
-                )  # the client's protocol has no streamed values
+                # The client's protocol has no streamed values.
+                parser.fault = parser.fault or "length out of bounds"
                 return
             stream = connection.response_stream = ResponseStream(parser.stream_length, self._buffer_budget)
             stream.on_capacity = connection.stream_has_capacity.set
@@ -528,7 +523,7 @@
         end()
 
     def _attempt_abandoned(self, connection: _PooledConnection, attempt: Attempt) -> None:
-        """The caller no longer waits: closing the connection cancels the attempt at the backend."""
+        """Close the connection of an abandoned attempt, which cancels the attempt at the backend."""
         if connection.attempt is attempt:
             connection.attempt = connection.response_stream = None
             connection.stream_has_capacity.set()
--- a/tests/gateway/test_parsers.py
+++ b/tests/gateway/test_parsers.py
@@ -328,9 +328,8 @@
 
     first = RequestIdentity("h", 1, "s", 0)
     cached = duplicates.begin(first)
-    assert (
-        cached is not None and duplicates.begin(RequestIdentity("h", 2, "t", 0)) is None
-    )  # the register is full
+    # A second request finds the register full.
+    assert cached is not None and duplicates.begin(RequestIdentity("h", 2, "t", 0)) is None
     duplicates.end(cached, Failed("x"), keep=True)
     now[0] = 239.0
     assert duplicates.find(first) is cached
@@ -465,16 +464,14 @@
     parsed = read_config(write_config(tmp_path, VALID_CONFIG, text), tmp_path)
     assert parsed.diameter is not None and parsed.diameter.plans == {1: "plain"}
     assert parsed.diameter.listen == ("127.0.0.1", 3868) and parsed.diameter.check_class == "read"
-    file_alone = read_diameter(
-        tmp_path / "deploy/diameter.toml", Settings(0, 1, "", 1.0, (), ())
-    )  # as `badgeryoke check` reads it
+    # As `badgeryoke check` reads the file.
+    file_alone = read_diameter(tmp_path / "deploy/diameter.toml", Settings(0, 1, "", 1.0, (), ()))
     assert file_alone == parsed.diameter
 
 
 def test_the_diameter_file_in_the_repository_is_disabled_and_valid(tmp_path: Path) -> None:
     text = (ROOT / "deploy/diameter.toml").read_text()
-    assert (
-        read_config(write_config(tmp_path, VALID_CONFIG, text), tmp_path).diameter is None
-    )  # disabled, without plans of a site
+    # The file is disabled and has no plans of any site.
+    assert read_config(write_config(tmp_path, VALID_CONFIG, text), tmp_path).diameter is None
     (tmp_path / "deploy/diameter.toml").write_text(text.replace("enabled = false", "enabled = true"))
     assert read_config({"LB_CONFIG": str(tmp_path / "config.json")}, tmp_path).diameter is not None
