--- a/tests/gateway/resp/test_client_connection.py
+++ b/tests/gateway/resp/test_client_connection.py
@@ -271,9 +271,8 @@
             writer.write(query())
             await backend.books.arrived.wait()
             app.end()
-            assert await ask(app, resp("PING")) == [
-                "-ERR not ready"
-            ]  # accepted, though the gateway is not ready
+            # A new connection is still accepted.
+            assert await ask(app, resp("PING")) == ["-ERR not ready"]
             assert not app.done.is_set()
             backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
             assert await read_reply(reader) == b"last"
--- a/tests/gateway/resp/test_connection_close.py
+++ b/tests/gateway/resp/test_connection_close.py
@@ -499,9 +499,8 @@
                 client_socket = connect_client(app)
                 client_socket.sendall(query(f"more{n}"))
                 assert await read_to_end(client_socket) == b"-BUSY 1\r\n"
-            waiting_clients = [
-                connect_client(app) for _ in range(12)
-            ]  # more than are rejected at a time: the others wait
+            # More clients than are rejected at a time: the others wait in the backlog.
+            waiting_clients = [connect_client(app) for _ in range(12)]
             for n, client_socket in enumerate(waiting_clients):
                 client_socket.sendall(query(f"crowd{n}"))
             assert set(await asyncio.gather(*map(read_to_end, waiting_clients))) == {b"-BUSY 1\r\n"}
--- a/tests/gateway/test_quota_counter_faults.py
+++ b/tests/gateway/test_quota_counter_faults.py
@@ -89,8 +89,8 @@
 @pytest.mark.parametrize("was_read", [False, True], ids=["unread", "read"])
 @pytest.mark.parametrize("unsolicited", [b"$1\r\n", b"$1\r\n9\r\n"], ids=["half a reply", "a reply"])
 def test_unsolicited_bytes_are_not_part_of_the_next_reply(unsolicited: bytes, was_read: bool) -> None:
-    """Regression: half a reply on an idle connection stayed in the parser until the next call, which was counted but
-    ended as one that may have been counted.  A complete reply that was still unread was used as the call's total."""
+    """Regression: half a reply on an idle connection was kept until the next call, which was counted but ended as one
+    that may have been counted.  A complete reply that was still unread was used as the call's total."""
 
     async def test() -> None:
         async with Counter() as counter:
