--- a/tests/gateway/resp/test_client_connection.py
+++ b/tests/gateway/resp/test_client_connection.py
@@ -169,7 +169,7 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "stays"), MALFORMED)
+@pytest.mark.parametrize(("data", "stays_open"), MALFORMED)
 def test_malformed_input_gets_an_error_and_closes_at_most_its_own_connection(
     data: bytes, stays_open: bool
 ) -> None:
--- a/tests/gateway/test_parsers.py
+++ b/tests/gateway/test_parsers.py
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "keep"),
+    ("data", "keep_alive"),
     HTTP_RESPONSES,
     ids=["content length", "chunked", "connection close", "1xx first"],
 )
@@ -276,7 +276,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "result"),
+    ("body", "result_code"),
     [
         (b"\0" * 4, 5014),
         (struct.pack(">II", 1, 7), 5014),
