--- a/tests/gateway/test_faults_by_stage.py
+++ b/tests/gateway/test_faults_by_stage.py
@@ -132,7 +132,7 @@
     def crash(self) -> None:
         """Crash the process: all its sockets are closed, and its state is lost."""
         self.app.parts.resp_listener.stop()
-        for client_connection in list(self.app.parts.resp_listener.links):
+        for client_connection in list(self.app.parts.resp_listener.connections):
             client_connection._stream.close()
         for _, server in self.app.parts.upstreams.by_number.values():
             for connection in list(server._connections):  # type: ignore[union-attr]
@@ -252,7 +252,7 @@
 
 async def client_disconnects(bench: GatewayBench) -> None:
     bench.writer.transport.abort()
-    await until(lambda: not bench.app.parts.dispatcher.unanswered and not bench.app.parts.resp_listener.links)
+    await until(lambda: not bench.app.parts.dispatcher.unanswered and not bench.app.parts.resp_listener.connections)
 
 
 async def server_resets(bench: GatewayBench) -> None:
--- a/tests/gateway/test_service.py
+++ b/tests/gateway/test_service.py
@@ -235,7 +235,7 @@
                 writer.write(query(f"r{n}"))
                 assert await read_reply(reader) == b"value"
                 now = app.parts.loop.time()
-                for connection in app.parts.resp_listener.links:
+                for connection in app.parts.resp_listener.connections:
                     # As if it had been idle for that time.
                     connection.idle_since_s = now - listener_module.MIN_EVICTION_IDLE_S
 
@@ -258,7 +258,7 @@
                 writers.append(writer)
                 writer.write(query(f"r{n}"))
                 assert await read_reply(reader) == b"value"
-            await until(lambda: len(app.parts.resp_listener.links) <= 4)  # without any new client
+            await until(lambda: len(app.parts.resp_listener.connections) <= 4)  # without any new client
 
     run_test(test)
 
@@ -288,7 +288,7 @@
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("whole") + resp("PING")[:6])
             await backend.books.arrived.wait()
-            [connection] = app.parts.resp_listener.links
+            [connection] = app.parts.resp_listener.connections
             await until(lambda: connection._closing)
             backend.writers[0].write(b"*1\r\n$4\r\nkept\r\n")
             assert await read_reply(reader) == b"kept"
@@ -305,8 +305,8 @@
     async def test() -> None:
         async with one_gateway() as (app, _, _):
             _, writer = await connect(app.lifecycle.address)
-            await until(lambda: app.parts.resp_listener.links)
-            [connection] = app.parts.resp_listener.links
+            await until(lambda: app.parts.resp_listener.connections)
+            [connection] = app.parts.resp_listener.connections
             connection.abort()
             assert not connection.is_idle
             writer.close()
@@ -428,7 +428,7 @@
 
 
 def test_a_client_that_does_not_read_its_responses_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(listener_module, "UNFETCHED_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(listener_module, "WRITE_STALL_TIMEOUT_S", 0.3)
     value = b"*1\r\n" + resp("v" * 65_000)[4:]
 
     async def test() -> None:
@@ -437,12 +437,12 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 # Into the backlog: this call blocks the event loop, so nothing is accepted meanwhile.
                 client.connect(app.lifecycle.address)
-                await until(lambda: app.parts.resp_listener.links)
-                [connection] = app.parts.resp_listener.links
+                await until(lambda: app.parts.resp_listener.connections)
+                [connection] = app.parts.resp_listener.connections
                 connection._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 client.sendall(query())
-                await until(lambda: connection.unfetched_since_s < math.inf)
-                await until(lambda: not app.parts.resp_listener.links)
+                await until(lambda: connection.write_stalled_since_s < math.inf)
+                await until(lambda: not app.parts.resp_listener.connections)
 
     run_test(test)
 
