--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -1219,7 +1219,7 @@
     for lease_client in lease_clients:
         for _ in range(rng.choice((0, 0, 1, 3))):
             customer, units = rng.randint(0, 8), rng.choice((1.0, 1.0, 2.5))
-            reserved_units = lease_client.take(now_ms, customer, units)
+            reserved_units = lease_client.draw(now_ms, customer, units)
             digest.add(reserved_units)
             if reserved_units is not None:
                 reserved.append((lease_client, reserved_units))
@@ -1229,7 +1229,7 @@
         digest.add((lease_client.idle_rate(now_ms), lease_client.held_rate(now_ms), lease_client.due))
     if reserved and rng.random() < 0.1:
         lease_client, reserved_units = reserved.pop(rng.randrange(len(reserved)))
-        lease_client.failed(now_ms, reserved_units, rng.choice(("overload", "timeout")))
+        lease_client.record_unserved(now_ms, reserved_units, rng.choice(("overload", "timeout")))
 
 
 @pytest.mark.parametrize("seed", range(4))
--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -22,7 +22,7 @@
 from badgeryoke.gateway.config.errors import ConfigError
 from badgeryoke.gateway.config.model import Config
 from badgeryoke.gateway.config.platform_file import read_config
-from tests.gateway.test_reload import at
+from tests.gateway.test_reload import changed_file
 from tests.support.paths import ROOT
 from tests.support.running import ask, until
 from tests.support.running import run_test as run_async
@@ -240,17 +240,17 @@
     for is_reload in (False, True):
         for value in invalid_values:
             if path in ("feedback.fields", "contracts") and value == []:
-                read_settings_file(tmp_path, at(FULL, path, value), is_reload)
+                read_settings_file(tmp_path, changed_file(FULL, path, value), is_reload)
                 continue  # valid: load reports without fields, no plans
             with pytest.raises(ConfigError) as caught:
-                read_settings_file(tmp_path, at(FULL, entry_path(path), value), is_reload)
+                read_settings_file(tmp_path, changed_file(FULL, entry_path(path), value), is_reload)
             error_text = str(caught.value)  # for an object or a list, it may name a key inside
             assert (
                 error_text.startswith(error_prefix(path)[:-1])
                 and error_text[len(error_prefix(path)) - 1] in ":.["
                 and len(error_text) < 250
             )
-        settings_without_key = at(FULL, entry_path(path))
+        settings_without_key = changed_file(FULL, entry_path(path))
         if path in OPTIONAL:
             if path != "contracts.cap_depth":
                 read_settings_file(tmp_path, settings_without_key, is_reload)
@@ -306,7 +306,7 @@
 )
 def test_the_error_names_a_setting_out_of_its_range(path: str, value: object, tmp_path: Path) -> None:
     with pytest.raises(ConfigError) as caught:
-        read_settings_file(tmp_path, at(FULL, entry_path(path), value))
+        read_settings_file(tmp_path, changed_file(FULL, entry_path(path), value))
     assert str(caught.value).startswith(error_prefix(path)) and len(str(caught.value)) < 250
 
 
@@ -332,18 +332,27 @@
         4,
     )
     assert (parsed.connect_ms, parsed.idle_ms, parsed.report_names) == (400.0, 45_000.0, ("q", "busy"))
-    changed_settings = at(at(at(FULL, "feedback.how", "probe"), "family_info.has_counter", False), "zone", "")
-    parsed = read_settings_file(tmp_path, at(changed_settings, "tiers", ["front", "middle", "back"]))
+    changed_settings = changed_file(
+        changed_file(changed_file(FULL, "feedback.how", "probe"), "family_info.has_counter", False),
+        "zone",
+        "",
+    )
+    parsed = read_settings_file(
+        tmp_path, changed_file(changed_settings, "tiers", ["front", "middle", "back"])
+    )
     assert (parsed.report_names, parsed.settings.has_counter, parsed.settings.zone) == ((), False, "")
     assert parsed.settings.counter_timeout_ms == 0.0
     assert (
         read_settings_file(
-            tmp_path, at(at(changed_settings, "zones", []), "discovery", "automatic")
+            tmp_path, changed_file(changed_file(changed_settings, "zones", []), "discovery", "automatic")
         ).settings.must_subscribe
         is False
     )
     assert (
-        read_settings_file(tmp_path, at(at(changed_settings, "zones", []), "zone")).settings.zone == ""
+        read_settings_file(
+            tmp_path, changed_file(changed_file(changed_settings, "zones", []), "zone")
+        ).settings.zone
+        == ""
     )  # a site without zones
 
 
@@ -351,7 +360,9 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     assert unknown_keys(FULL) == []
-    with_unknown_keys = at(at(at(FULL, "clases", []), "classes.1.windows_ms", 1), "rules.fall_times", 2)
+    with_unknown_keys = changed_file(
+        changed_file(changed_file(FULL, "clases", []), "classes.1.windows_ms", 1), "rules.fall_times", 2
+    )
     caplog.set_level(logging.WARNING)
     assert read_settings_file(tmp_path, with_unknown_keys).settings == parse_settings(FULL)
     assert caplog.messages == [
@@ -365,7 +376,7 @@
 def test_a_process_with_an_invalid_file_exits_with_one_line(tmp_path: Path) -> None:
     for path, value in (("classes.slo_ms", 0), ("feedback.fields", 5)):
         with pytest.raises(ConfigError):
-            read_settings_file(tmp_path, at(FULL, entry_path(path), value))
+            read_settings_file(tmp_path, changed_file(FULL, entry_path(path), value))
         completed = subprocess.run(
             [sys.executable, "-m", "badgeryoke"],
             cwd=ROOT,
--- a/tests/gateway/test_faults_by_stage.py
+++ b/tests/gateway/test_faults_by_stage.py
@@ -252,7 +252,9 @@
 
 async def client_disconnects(bench: GatewayBench) -> None:
     bench.writer.transport.abort()
-    await until(lambda: not bench.app.parts.dispatcher.unanswered and not bench.app.parts.resp_listener.connections)
+    await until(
+        lambda: not bench.app.parts.dispatcher.unanswered and not bench.app.parts.resp_listener.connections
+    )
 
 
 async def server_resets(bench: GatewayBench) -> None:
--- a/tests/gateway/test_golden_settings.py
+++ b/tests/gateway/test_golden_settings.py
@@ -16,7 +16,7 @@
 from badgeryoke.gateway.config.platform_file import read_config
 from badgeryoke.gateway.discovery.endpoint_list import read_endpoint_snapshot
 from tests.decisions.test_settings_parser import FULL, USED, entry_path
-from tests.gateway.test_reload import at
+from tests.gateway.test_reload import changed_file
 from tests.support.golden_files import assert_golden, text_lines
 from tests.support.stand_ins import entry
 
@@ -77,9 +77,9 @@
     path: str, raw: dict[str, Any], values: Iterable[Any], read: Callable[[dict[str, Any]], object]
 ) -> list[str]:
     """What is said with a key missing, and with each of the values under it."""
-    lines = [f"{path} missing: {outcome(lambda: read(at(raw, path)))}"]
+    lines = [f"{path} missing: {outcome(lambda: read(changed_file(raw, path)))}"]
     for value in values:
-        made = at(raw, path, value)
+        made = changed_file(raw, path, value)
         lines.append(f"{path} = {shown(value)}: {outcome(lambda: read(made))}")  # noqa: B023
     return lines
 
@@ -90,7 +90,9 @@
     doubled = copy.deepcopy(FULL)
     doubled["classes"][1]["name"] = doubled["classes"][0]["name"]
     lines.append(f"classes, a name twice: {outcome(lambda: parse_settings(doubled))}")
-    strange = at(at(at(FULL, "zzz", 1), "rules.cold_form", 1), "classes.1.slo", 1)
+    strange = changed_file(
+        changed_file(changed_file(FULL, "zzz", 1), "rules.cold_form", 1), "classes.1.slo", 1
+    )
     return [*lines, f"unknown: {', '.join(unknown_keys(strange))}"]
 
 
@@ -120,7 +122,7 @@
     operators = folder / "deploy" / "badgeryoke.toml"
     operators.parent.mkdir()
     operators.write_text("[counter_watch]\nenabled = true\n")
-    uncounted = at(PLATFORM, "settings.family_info.has_counter", False)
+    uncounted = changed_file(PLATFORM, "settings.family_info.has_counter", False)
     lines.append(f"a watch without a counter: {outcome(lambda: read(uncounted))}")
     operators.write_text("[log]\nlevel = 3\n")
     lines.append(f"operators' file: {outcome(lambda: read(PLATFORM))}")
