--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -171,7 +171,7 @@
         self._rules.check(
             Rule.LEASE_ONCE,
             number > self.last_lease_number,
-            lambda: f"{contract}: lease {number} was given before",
+            lambda: f"{contract}: lease number {number} was already granted",
         )
 
     @staticmethod
--- a/badgeryoke/cluster/reservations/reserved_capacity.py
+++ b/badgeryoke/cluster/reservations/reserved_capacity.py
@@ -123,6 +123,6 @@
         self._rules.check(
             Rule.CONTRACTS_FIT,
             peak <= max(available, overcommitted) + ROUNDING_TOLERANCE,
-            lambda: f"{peak:g} units a second promised, {available:g} may be",
+            lambda: f"{peak:g} units a second reserved, {available:g} available",
         )
         self.overcommitted[zone] = min(overcommitted, peak) if peak > available else 0.0
