--- a/badgeryoke/gateway/application.py
+++ b/badgeryoke/gateway/application.py
@@ -107,7 +107,7 @@
         dispatcher = self.parts.dispatcher
         upstreams = len(self.parts.upstreams.by_number)
         return render_metrics(
-            dispatcher.metrics, Gauges(dispatcher.unanswered, upstreams, dispatcher.unavailable_servers)
+            dispatcher.metrics, Gauges(dispatcher.unanswered, upstreams, dispatcher.unavailable_server_count)
         )
 
     @property
--- a/badgeryoke/gateway/dispatcher.py
+++ b/badgeryoke/gateway/dispatcher.py
@@ -125,7 +125,7 @@
         return sum(1 for pending in self._pending.values() if pending.respond is not None)
 
     @property
-    def unavailable_servers(self) -> int:
+    def unavailable_server_count(self) -> int:
         """The number of listed servers that get no requests at present."""
         return self._module.unavailable_server_count(self._clock())
 
