--- a/badgeryoke/cluster/invariants.py
+++ b/badgeryoke/cluster/invariants.py
@@ -14,21 +14,25 @@
     """Every invariant with its statement.  The names are stored and logged, so they stay."""
 
     ONE_LEADER = "no term of a group has two leaders"
-    VOTE_ONCE = "no member votes for two in one term, or as an incarnation that lost its votes"
-    COMMITTED_STAYS = "an entry that was committed never changes and never goes"
-    OWN_TERM = "a leader commits by counting copies of an entry of its own term only"
-    STORED_FIRST = "nothing is told to another before it is on stable storage here"
-    APPLIED_ONCE = "entries are applied in order, each once"
+    VOTE_ONCE = (
+        "no member votes for two candidates in one term, or under an incarnation whose votes were lost"
+    )
+    COMMITTED_STAYS = "a committed entry is never changed or removed"
+    OWN_TERM = "a leader commits by counting replicas only for entries of its own term"
+    STORED_FIRST = "nothing is sent to another member before it is on stable storage here"
+    APPLIED_ONCE = "entries are applied in order, each exactly once"
     CONFIG_ONE = "one change of members at a time, by one voter at the most"
-    LEASE_ONCE = "no lease is held by two at one time"
-    PARTS_IN_WHOLE = "the parts granted sum to at most the whole"
-    CONTRACTS_FIT = "admitted contracts fit in what the fleet can carry, at every moment"
-    CONNECTIONS_FIT = "connections granted to a server are within its limit"
-    OPEN_UNDER_LEASE = "no more connections are open than the lease says"
-    WAVE_KEEPS_QUORUM = "no wave of a roll takes a group below its majority, or a hall away"
-    WAVE_KEEPS_ROOM = "no wave of a roll takes what the traffic and the contracts need"
-    ROLL_FORWARD = "the steps of a roll go forward only, and nobody is drained twice"
-    COPIES_WHOLE = "no wave begins before the copies are whole"
+    LEASE_ONCE = "no lease has two holders at the same time"
+    PARTS_IN_WHOLE = "the granted shares sum to at most the capacity"
+    CONTRACTS_FIT = "admitted contracts fit in the capacity of the fleet at any time"
+    CONNECTIONS_FIT = "the connections granted for a server are within its limit"
+    OPEN_UNDER_LEASE = "no more connections are open than the lease allows"
+    WAVE_KEEPS_QUORUM = (
+        "no wave of a rolling restart leaves a group without its majority or a zone without a gateway"
+    )
+    WAVE_KEEPS_ROOM = "no wave of a rolling restart takes capacity that the traffic and the contracts need"
+    ROLL_FORWARD = "a rolling restart never goes back a step, and no gateway is drained twice"
+    COPIES_WHOLE = "no wave begins before all replicas are restored"
     ID_ONCE = "no call with the same id takes effect twice"
 
 
