--- a/badgeryoke/__main__.py
+++ b/badgeryoke/__main__.py
@@ -16,7 +16,9 @@
     root = Path.cwd()
     config = read_config(os.environ, root)
     configure_logging(config.operators.log.format, config.operators.log.level)
-    await GatewayApplication(config, read_new_config=lambda: read_config(os.environ, root, again=True)).run()
+    await GatewayApplication(
+        config, read_new_config=lambda: read_config(os.environ, root, is_reload=True)
+    ).run()
 
 
 if __name__ == "__main__":
--- a/badgeryoke/gateway/admin/calls.py
+++ b/badgeryoke/gateway/admin/calls.py
@@ -39,7 +39,7 @@
         """The metrics, one a line."""
 
     @property
-    def fleet_on(self) -> bool:
+    def is_cluster_member(self) -> bool:
         """Whether this gateway is a member of a cluster."""
 
     async def fleet_call(self, call: bytes) -> bytes:
--- a/badgeryoke/gateway/admin/server.py
+++ b/badgeryoke/gateway/admin/server.py
@@ -65,7 +65,7 @@
     def _make_room(self) -> None:
         """Close the oldest connections, where there are as many as may be open."""
         while len(self._connections) >= (
-            MAX_CONNECTIONS_IN_CLUSTER if self._gateway.fleet_on else MAX_CONNECTIONS
+            MAX_CONNECTIONS_IN_CLUSTER if self._gateway.is_cluster_member else MAX_CONNECTIONS
         ):
             oldest = next(iter(self._connections))
             del self._connections[oldest]
--- a/badgeryoke/gateway/application.py
+++ b/badgeryoke/gateway/application.py
@@ -111,7 +111,7 @@
         )
 
     @property
-    def fleet_on(self) -> bool:
+    def is_cluster_member(self) -> bool:
         """Whether this gateway is a member of a cluster."""
         return self.parts.cluster is not None
 
--- a/badgeryoke/gateway/config/platform_file.py
+++ b/badgeryoke/gateway/config/platform_file.py
@@ -54,11 +54,11 @@
     report_names: tuple[str, ...]
 
 
-def read_config(environ: Mapping[str, str], root: Path, again: bool = False) -> Config:
+def read_config(environ: Mapping[str, str], root: Path, is_reload: bool = False) -> Config:
     """Read and validate everything; raises ConfigError.
 
     `root`: the folder that holds deploy/.  At the start an environment variable takes precedence over the
-    same key of the file.  With `again`, on a reload, the file takes precedence: a process keeps the
+    same key of the file.  With `is_reload`, the file takes precedence: a process keeps the
     environment it was started with, so a new value can only be in the file.
     """
     raw = _read_platform_file(environ)
@@ -76,7 +76,7 @@
     return Config(
         name=environ.get("LB_NAME") or str(raw.get("name", "")),
         listen=listen,
-        discovery=_read_discovery(environ, raw, again),
+        discovery=_read_discovery(environ, raw, is_reload),
         counter=read_address("counter", counter) if counter else None,
         seed=seed,
         sockets=int(read_number("limits", limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)),
@@ -177,8 +177,8 @@
     return mgmt
 
 
-def _read_discovery(environ: Mapping[str, str], raw: Mapping[str, object], again: bool) -> Address:
-    if again and raw.get("discovery"):
+def _read_discovery(environ: Mapping[str, str], raw: Mapping[str, object], is_reload: bool) -> Address:
+    if is_reload and raw.get("discovery"):
         return read_address("discovery", raw["discovery"])
     return read_address("LB_DISCOVERY", environ.get("LB_DISCOVERY") or raw.get("discovery"))
 
--- a/badgeryoke/gateway/diameter/duplicate_requests.py
+++ b/badgeryoke/gateway/diameter/duplicate_requests.py
@@ -26,7 +26,7 @@
     session_id: str
     request_number: int
 
-    def key(self) -> str:
+    def idempotency_key(self) -> str:
         """The idempotency key for servers: derived from the identity alone, so that every gateway derives the same."""
         parts = (self.origin_host, str(self.end_to_end_id), self.session_id, str(self.request_number))
         serialized = b"".join(b"%d:%b" % (len(part.encode()), part.encode()) for part in parts)
--- a/badgeryoke/gateway/diameter/request_register.py
+++ b/badgeryoke/gateway/diameter/request_register.py
@@ -35,9 +35,9 @@
         super().__init__(loop)
         self._config, self._dispatcher, self._clock = config, dispatcher, clock
         self._duplicates = DuplicateRequests(config.answers_kept_s, loop.time)
-        self.retune(settings)
+        self.update_settings(settings)
 
-    def retune(self, settings: Settings) -> None:
+    def update_settings(self, settings: Settings) -> None:
         """Take the request classes and the number of gateways from new settings."""
         self._gateways = settings.gateway_count
         self._check_class, self._debit_class = (
@@ -118,7 +118,7 @@
             units=float(request.units or 1),
             gateway_set_size=self._gateways,
             retry=retransmitted,
-            idempotency_key=request.identity.key() if is_debit else "",
+            idempotency_key=request.identity.idempotency_key() if is_debit else "",
             body=request.body,
             send_by_ms=send_by_ms,
         )
--- a/badgeryoke/gateway/reload.py
+++ b/badgeryoke/gateway/reload.py
@@ -69,7 +69,7 @@
         parts.counter.update_settings(settings.counter_timeout_ms)
     parts.upstreams.update_settings(config)
     if parts.diameter_listener is not None:
-        parts.diameter_listener.register.retune(settings)
+        parts.diameter_listener.register.update_settings(settings)
     parts.dispatcher.update_settings(settings)
 
 
--- a/tests/gateway/test_golden_admin.py
+++ b/tests/gateway/test_golden_admin.py
@@ -69,7 +69,7 @@
         return "lb_pending 1\n"
 
     @property
-    def fleet_on(self) -> bool:
+    def is_cluster_member(self) -> bool:
         return False
 
     async def fleet_call(self, call: bytes) -> bytes:
--- a/tests/gateway/test_parsers.py
+++ b/tests/gateway/test_parsers.py
@@ -317,8 +317,10 @@
         RequestIdentity("h", 1, "s", 1),
         RequestIdentity("h1", 1, "s", 0),
     ]
-    assert identity.key() == RequestIdentity("h", 1, "s", 0).key() == "47218e1462e4d40f"
-    assert len({identity.key(), *(other.key() for other in others)}) == 6
+    assert (
+        identity.idempotency_key() == RequestIdentity("h", 1, "s", 0).idempotency_key() == "47218e1462e4d40f"
+    )
+    assert len({identity.idempotency_key(), *(other.idempotency_key() for other in others)}) == 6
 
 
 def test_responses_are_cached_until_they_expire_and_within_bounds() -> None:
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -68,7 +68,7 @@
     file = tmp_path / "config.json"
     file.write_text(json.dumps(changed_file(RAW, path, value)).replace('"NaN"', "NaN"))
     with pytest.raises(ConfigError, match=path.rsplit(".", 1)[1] + "|not JSON"):
-        read_config({"LB_CONFIG": str(file)}, tmp_path, again=True)
+        read_config({"LB_CONFIG": str(file)}, tmp_path, is_reload=True)
 
 
 @pytest.mark.parametrize("text", ["", "{", json.dumps(RAW)[:-40], "[]", "null"])
@@ -76,7 +76,7 @@
     file = tmp_path / "config.json"
     file.write_text(text)
     with pytest.raises(ConfigError, match="LB_CONFIG"):
-        read_config({"LB_CONFIG": str(file)}, tmp_path, again=True)
+        read_config({"LB_CONFIG": str(file)}, tmp_path, is_reload=True)
 
 
 @pytest.mark.parametrize(
