--- a/badgeryoke/gateway/diameter/client_connection.py
+++ b/badgeryoke/gateway/diameter/client_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a Diameter client: Credit-Control-Requests in, Credit-Control-Answers out (RFC 8506)."""
+"""A Diameter client's connection: receives Credit-Control-Requests and sends their answers (RFC 8506)."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 if TYPE_CHECKING:
     from badgeryoke.gateway.diameter.listener import DiameterListener
 
-ENOUGH_CREDIT = 0  # Check-Balance-Result
-MAX_REQUESTS_IN_FLIGHT = 1024  # requests of one connection that wait for their answers
+ENOUGH_CREDIT = 0  # a value of Check-Balance-Result
+MAX_REQUESTS_IN_FLIGHT = 1024  # per connection
 
 
 class DiameterClientConnection(Peer):
-    """One connection of a Diameter client."""
+    """The connection of one Diameter client."""
 
     def __init__(self, stream: IOStream, listener: DiameterListener) -> None:
         super().__init__(stream, listener.identity, listener.loop, listener.config.watchdog_s)
@@ -31,12 +31,12 @@
         self._draining = False
 
     def accepts_peer(self, host: str) -> bool:
-        """Whether the Origin-Host may connect: any host where the configuration lists no clients."""
+        """Whether the Origin-Host may connect; any host may if the configuration lists no clients."""
         clients = self._listener.config.clients
         return super().accepts_peer(host) and (not clients or host in clients)
 
     def handle_credit_control(self, message: Message, avps: list[Avp] | Fault) -> None:
-        """Check a Credit-Control-Request and submit it; its answer may come later."""
+        """Check a Credit-Control-Request and submit it; the answer may be sent later."""
         if not message.is_request:
             return  # the gateway sends no Credit-Control-Request to a client
         if isinstance(avps, Fault):
@@ -63,7 +63,7 @@
             )
 
     def _check_destination(self, avps: list[Avp]) -> Fault | None:
-        """A fault for a request to another realm or host: this gateway is no relay agent."""
+        """Return a fault for a request to another realm or host: this gateway is not a relay agent."""
         realm, host = (
             codec.find_avp(avps, AvpCode.DESTINATION_REALM),
             codec.find_avp(avps, AvpCode.DESTINATION_HOST),
@@ -91,10 +91,10 @@
             case Served():
                 avps = _served_avps(request, answer)
                 self.send_answer(message, ResultCode.SUCCESS, [*avps, *proxy_avps], session)
-            case Rejected(retry_after_ms=wait):
+            case Rejected(retry_after_ms=retry_after_ms):
                 self.send_fault_answer(
                     message,
-                    Fault(ResultCode.TOO_BUSY, f"retry after {max(round(wait), 1)} ms"),
+                    Fault(ResultCode.TOO_BUSY, f"retry after {max(round(retry_after_ms), 1)} ms"),
                     session,
                     proxy_avps,
                 )
@@ -115,7 +115,7 @@
             self.disconnect(codec.REBOOTING)
 
     def connection_closed(self) -> None:
-        """Release the connection's place at the listener."""
+        """Remove this connection from the listener."""
         self._listener.connection_closed(self)
 
 
--- a/badgeryoke/gateway/diameter/codec.py
+++ b/badgeryoke/gateway/diameter/codec.py
@@ -1,6 +1,6 @@
 """Codec of Diameter messages (RFC 6733) and of the AVPs of credit control (RFC 8506).
 
-A fault in a message is a value that carries the Result-Code and the AVP it is about.
+Parsing errors are returned as Fault values, not raised.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 from badgeryoke.gateway.diameter.dictionary import AvpCode, ResultCode
 
 HEADER_BYTES = 20
-MAX_MESSAGE_BYTES = 96 * 1024  # a value of 64 KiB and the other AVPs
-MAX_AVPS = 128  # of one message, or of one Grouped AVP
+MAX_MESSAGE_BYTES = 96 * 1024  # fits a value of 64 KiB and the other AVPs
+MAX_AVPS = 128  # per message and per Grouped AVP
 # Command flags: the R, P, E and T bits.
 FLAG_REQUEST = 0x80
 FLAG_PROXIABLE = 0x40
@@ -25,7 +25,7 @@
 AVP_FLAG_MANDATORY = 0x40
 CREDIT_CONTROL_APPLICATION_ID = 4
 RELAY_APPLICATION_ID = 0xFFFFFFFF
-NTP_EPOCH_OFFSET_S = 2_208_988_800  # the Unix epoch as a value of the type Time
+NTP_EPOCH_OFFSET_S = 2_208_988_800  # the Unix epoch as a value of the Time type (seconds since 1900)
 
 EVENT_REQUEST = 4  # CC-Request-Type
 DIRECT_DEBITING, CHECK_BALANCE = 0, 2  # Requested-Action
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Avp:
-    """One AVP; its data is read where it is used."""
+    """One AVP, with its data not yet decoded."""
 
     code: int
     data: bytes
@@ -43,7 +43,7 @@
     vendor_id: int = 0
 
     def encode(self) -> bytes:
-        """The AVP with its header and padding."""
+        """Encode the AVP with its header and padding."""
         flags = self.flags | AVP_FLAG_VENDOR if self.vendor_id else self.flags & ~AVP_FLAG_VENDOR
         vendor_id_field = struct.pack(">I", self.vendor_id) if self.vendor_id else b""
         length = 8 + len(vendor_id_field) + len(self.data)
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What is wrong with a message: the Result-Code, and the AVP to name in Failed-AVP."""
+    """An error in a message: the Result-Code, the text of Error-Message and the content of Failed-AVP."""
 
     result_code: int
     text: str
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message, its AVPs not yet read."""
+    """One message, with its AVPs not yet decoded."""
 
     flags: int
     command_code: int
@@ -83,7 +83,7 @@
         return bool(self.flags & FLAG_REQUEST)
 
     def encode(self) -> bytes:
-        """The message with its header."""
+        """Encode the message with its header."""
         length = HEADER_BYTES + len(self.body)
         return (
             struct.pack(
@@ -98,7 +98,7 @@
         )
 
     def answer(self, avps: Iterable[Avp], error: bool = False) -> Message:
-        """The answer to this request: the same ids, and the E bit for a protocol error."""
+        """Build the answer to this request, with the same identifiers; `error` sets the E bit."""
         return Message(
             self.flags & FLAG_PROXIABLE | (FLAG_ERROR if error else 0),
             self.command_code,
@@ -115,16 +115,16 @@
     def __init__(self, max_message_bytes: int = MAX_MESSAGE_BYTES) -> None:
         self._buffer = bytearray()
         self._max_message_bytes = max_message_bytes
-        # After this nothing can be read: the fault, and the header it is about.
+        # The framing error and the header it was found in; once it is set, further data is ignored.
         self.fault: tuple[Fault, Message] | None = None
 
     @property
     def has_partial_message(self) -> bool:
-        """Whether the buffer holds the beginning of a message."""
+        """Whether the buffer holds an incomplete message."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that data completes; stops for good at a fault."""
+        """Return the messages that `data` completes; after a framing error, always none."""
         messages: list[Message] = []
         if self.fault is not None:
             return messages
@@ -168,12 +168,12 @@
 
 
 def encode_avps(avps: Iterable[Avp]) -> bytes:
-    """The AVPs of a message body or of a Grouped AVP, in their order."""
+    """Encode the AVPs of a message body or of a Grouped AVP, in order."""
     return b"".join(avp.encode() for avp in avps)
 
 
 def read_avps(body: bytes) -> list[Avp] | Fault:
-    """The AVPs of a message or of a group."""
+    """Decode the AVPs of a message body or of a Grouped AVP."""
     avps: list[Avp] = []
     offset = 0
     while offset < len(body):
@@ -183,7 +183,7 @@
         flags, length = flags_and_length >> 24, flags_and_length & 0xFFFFFF
         header_bytes = 12 if flags & AVP_FLAG_VENDOR else 8
         if length < header_bytes or offset + length > len(body):
-            # RFC 6733, 7.5: the offending AVP's header, its data filled up with zeroes.
+            # RFC 6733, 7.5: Failed-AVP holds the header of the invalid AVP, and zeroes as its data.
             return Fault(
                 ResultCode.INVALID_AVP_LENGTH,
                 f"AVP {code} length {length}",
@@ -219,7 +219,7 @@
     return Avp(code, encode_avps(avps))
 
 
-def _invalid(avp: Avp) -> Fault:
+def _invalid_value_fault(avp: Avp) -> Fault:
     return Fault(ResultCode.INVALID_AVP_VALUE, f"AVP {avp.code} has no valid value", avp.encode())
 
 
@@ -242,27 +242,27 @@
     try:
         return avp.data.decode()
     except UnicodeDecodeError:
-        return _invalid(avp)
+        return _invalid_value_fault(avp)
 
 
 def find_avp(avps: Iterable[Avp], code: int) -> Avp | None:
-    """The first AVP of a code, none of a vendor's."""
+    """Return the first AVP with the code; vendor-specific AVPs are skipped."""
     return next((avp for avp in avps if avp.code == code and not avp.vendor_id), None)
 
 
 def address_avp(host: str) -> Avp:
-    """Host-IP-Address: the address family, then the address."""
+    """A Host-IP-Address AVP: the address family, then the address."""
     ip = ipaddress.ip_address(host)
     return Avp(AvpCode.HOST_IP_ADDRESS, struct.pack(">H", 1 if ip.version == 4 else 2) + ip.packed)
 
 
 def read_units(avp: Avp) -> int | Fault | None:
-    """CC-Service-Specific-Units of a Requested- or Granted-Service-Unit; None where it holds none."""
-    inner = read_avps(avp.data)
-    if isinstance(inner, Fault):
-        return inner
-    found = find_avp(inner, AvpCode.CC_SERVICE_SPECIFIC_UNITS)
-    return None if found is None else read_unsigned64(found)
+    """Return CC-Service-Specific-Units of a Requested- or Granted-Service-Unit; None if there is none."""
+    inner_avps = read_avps(avp.data)
+    if isinstance(inner_avps, Fault):
+        return inner_avps
+    specific_units_avp = find_avp(inner_avps, AvpCode.CC_SERVICE_SPECIFIC_UNITS)
+    return None if specific_units_avp is None else read_unsigned64(specific_units_avp)
 
 
 def units_avp(code: int, units: float) -> Avp:
@@ -279,12 +279,12 @@
 
 
 def read_value(avps: Iterable[Avp]) -> bytes | Fault | None:
-    """The value of a Service-Parameter-Info; None where there is none."""
+    """Return the value in the first Service-Parameter-Info; None if there is none."""
     info = find_avp(avps, AvpCode.SERVICE_PARAMETER_INFO)
     if info is None:
         return None
-    inner = read_avps(info.data)
-    if isinstance(inner, Fault):
-        return inner
-    found = find_avp(inner, AvpCode.SERVICE_PARAMETER_VALUE)
-    return None if found is None else found.data
+    inner_avps = read_avps(info.data)
+    if isinstance(inner_avps, Fault):
+        return inner_avps
+    parameter_value_avp = find_avp(inner_avps, AvpCode.SERVICE_PARAMETER_VALUE)
+    return None if parameter_value_avp is None else parameter_value_avp.data
--- a/badgeryoke/gateway/diameter/credit_control_request.py
+++ b/badgeryoke/gateway/diameter/credit_control_request.py
@@ -1,4 +1,4 @@
-"""Reads and checks a Credit-Control-Request of a Diameter client (RFC 8506)."""
+"""Parses and validates the Credit-Control-Requests of Diameter clients (RFC 8506)."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from badgeryoke.gateway.diameter.dictionary import AvpCode, ResultCode
 from badgeryoke.gateway.diameter.duplicate_requests import RequestIdentity
 
-# The AVPs that a Credit-Control-Request may hold with the M bit set; any other so marked is rejected.
+# The AVPs known in a Credit-Control-Request; any other AVP is rejected if its M bit is set.
 KNOWN_AVPS = frozenset(
     {
         AvpCode.SESSION_ID,
@@ -53,8 +53,7 @@
     AvpCode.SUBSCRIPTION_ID,
     AvpCode.SERVICE_IDENTIFIER,
 )
-
-
+# The AVPs of the types Unsigned32, Enumerated and Time.
 INTEGER_AVPS = (
     AvpCode.AUTH_APPLICATION_ID,
     AvpCode.CC_REQUEST_TYPE,
@@ -63,7 +62,7 @@
     AvpCode.SERVICE_IDENTIFIER,
     AvpCode.EVENT_TIMESTAMP,
 )
-MAX_IDENTIFIER_CHARACTERS = 512  # of a Session-Id or an Origin-Host
+MAX_IDENTIFIER_CHARACTERS = 512  # in a Session-Id or an Origin-Host
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,25 +78,27 @@
     body: bytes | None
 
 
-def _missing(code: int) -> Fault:
+def _missing_avp_fault(code: int) -> Fault:
     return Fault(ResultCode.MISSING_AVP, f"AVP {code} is missing", Avp(code, b"").encode())
 
 
-def _invalid(avp: Avp, words: str, result: int = ResultCode.INVALID_AVP_VALUE) -> Fault:
-    return Fault(result, words, avp.encode())
+def _invalid_avp_fault(avp: Avp, text: str, result_code: int = ResultCode.INVALID_AVP_VALUE) -> Fault:
+    return Fault(result_code, text, avp.encode())
 
 
 def read_customer(avp: Avp) -> int | Fault:
-    """A reseller's number in a Subscription-Id: 16 hex digits (END_USER_PRIVATE) or E.164 digits."""
-    inner = codec.read_avps(avp.data)
-    if isinstance(inner, Fault):
-        return inner
+    """Return the customer number in a Subscription-Id: 16 hex digits (END_USER_PRIVATE) or E.164 digits."""
+    inner_avps = codec.read_avps(avp.data)
+    if isinstance(inner_avps, Fault):
+        return inner_avps
     type_avp, data_avp = (
-        codec.find_avp(inner, AvpCode.SUBSCRIPTION_ID_TYPE),
-        codec.find_avp(inner, AvpCode.SUBSCRIPTION_ID_DATA),
+        codec.find_avp(inner_avps, AvpCode.SUBSCRIPTION_ID_TYPE),
+        codec.find_avp(inner_avps, AvpCode.SUBSCRIPTION_ID_DATA),
     )
     if type_avp is None or data_avp is None:
-        return _missing(AvpCode.SUBSCRIPTION_ID_TYPE if type_avp is None else AvpCode.SUBSCRIPTION_ID_DATA)
+        return _missing_avp_fault(
+            AvpCode.SUBSCRIPTION_ID_TYPE if type_avp is None else AvpCode.SUBSCRIPTION_ID_DATA
+        )
     subscription_type = codec.read_unsigned32(type_avp)
     if isinstance(subscription_type, Fault):
         return subscription_type
@@ -108,11 +109,11 @@
             return parse_customer(b"%016x" % int(data_avp.data[:16]))
     except ValueError:
         pass
-    return _invalid(avp, "unknown subscriber", ResultCode.USER_UNKNOWN)
+    return _invalid_avp_fault(avp, "unknown subscriber", ResultCode.USER_UNKNOWN)
 
 
 def _index_avps(avps: list[Avp]) -> dict[int, Avp] | Fault:
-    """The first AVP of each known code; a fault for an unknown mandatory or a repeated AVP."""
+    """Return the first AVP of each known code; a fault if an AVP is missing, repeated, or mandatory but unknown."""
     indexed: dict[int, Avp] = {}
     for avp in avps:
         if avp.vendor_id or avp.code not in KNOWN_AVPS:
@@ -124,12 +125,12 @@
             return Fault(ResultCode.AVP_OCCURS_TOO_MANY_TIMES, f"AVP {avp.code} came twice", avp.encode())
     for code in REQUIRED_AVPS:
         if code not in indexed:
-            return _missing(code)
+            return _missing_avp_fault(code)
     return indexed
 
 
 def _read_integers(indexed: dict[int, Avp]) -> dict[int, int] | Fault:
-    """The values of the Unsigned32, Enumerated and Time AVPs that are present."""
+    """Return the values of those of INTEGER_AVPS that are present."""
     integers: dict[int, int] = {}
     for code in INTEGER_AVPS:
         if code in indexed:
@@ -141,45 +142,45 @@
 
 
 def _read_identifier(avp: Avp) -> str | Fault:
-    """A Session-Id or an Origin-Host."""
+    """Return the text of a Session-Id or an Origin-Host."""
     identifier = codec.read_text(avp)
     if isinstance(identifier, Fault):
         return identifier
     if not 0 < len(identifier) <= MAX_IDENTIFIER_CHARACTERS:
-        return _invalid(avp, "empty or too long")
+        return _invalid_avp_fault(avp, "empty or too long")
     return identifier
 
 
 def _check_service(indexed: dict[int, Avp], integers: dict[int, int]) -> Fault | None:
-    """Only events of credit control are served, and of those only debits and balance checks."""
+    """Return a fault for anything but a one-time event that is a debit or a balance check."""
     if integers[AvpCode.AUTH_APPLICATION_ID] != codec.CREDIT_CONTROL_APPLICATION_ID:
-        return _invalid(indexed[AvpCode.AUTH_APPLICATION_ID], "not credit control")
+        return _invalid_avp_fault(indexed[AvpCode.AUTH_APPLICATION_ID], "not credit control")
     if integers[AvpCode.CC_REQUEST_TYPE] != codec.EVENT_REQUEST:
-        return _invalid(indexed[AvpCode.CC_REQUEST_TYPE], "only EVENT_REQUEST is served")
+        return _invalid_avp_fault(indexed[AvpCode.CC_REQUEST_TYPE], "only EVENT_REQUEST is served")
     if integers[AvpCode.REQUESTED_ACTION] not in (codec.DIRECT_DEBITING, codec.CHECK_BALANCE):
-        return _invalid(
+        return _invalid_avp_fault(
             indexed[AvpCode.REQUESTED_ACTION], "only DIRECT_DEBITING and CHECK_BALANCE are served"
         )
     return None
 
 
 def _read_requested_units(indexed: dict[int, Avp], action: int) -> int | Fault | None:
-    """The requested units; only a balance check may come without."""
+    """Return the requested units; only a balance check may omit them."""
     units: int | None = None
     if AvpCode.REQUESTED_SERVICE_UNIT in indexed:
         requested_units = codec.read_units(indexed[AvpCode.REQUESTED_SERVICE_UNIT])
         if isinstance(requested_units, Fault):
             return requested_units
         if requested_units == 0:
-            return _invalid(indexed[AvpCode.REQUESTED_SERVICE_UNIT], "no units asked for")
+            return _invalid_avp_fault(indexed[AvpCode.REQUESTED_SERVICE_UNIT], "no units asked for")
         units = requested_units
     if units is None and action == codec.DIRECT_DEBITING:
-        return _missing(AvpCode.REQUESTED_SERVICE_UNIT)
+        return _missing_avp_fault(AvpCode.REQUESTED_SERVICE_UNIT)
     return units
 
 
 def read_request(message: Message, avps: list[Avp]) -> CreditControlRequest | Fault:
-    """Check a Credit-Control-Request and read it; the first fault found is the one returned."""
+    """Validate and parse a Credit-Control-Request; return the first fault found."""
     indexed = _index_avps(avps)
     if isinstance(indexed, Fault):
         return indexed
@@ -203,13 +204,13 @@
     body = codec.read_value(avps)
     if isinstance(body, Fault):
         return body
-    event_time = integers.get(AvpCode.EVENT_TIMESTAMP)
+    event_time_ntp_s = integers.get(AvpCode.EVENT_TIMESTAMP)
     return CreditControlRequest(
         RequestIdentity(origin_host, message.end_to_end_id, session_id, integers[AvpCode.CC_REQUEST_NUMBER]),
         integers[AvpCode.REQUESTED_ACTION],
         customer,
         integers[AvpCode.SERVICE_IDENTIFIER],
         units,
-        None if event_time is None else event_time - codec.NTP_EPOCH_OFFSET_S,
+        None if event_time_ntp_s is None else event_time_ntp_s - codec.NTP_EPOCH_OFFSET_S,
         body,
     )
--- a/badgeryoke/gateway/diameter/duplicate_requests.py
+++ b/badgeryoke/gateway/diameter/duplicate_requests.py
@@ -9,16 +9,16 @@
 
 from badgeryoke.gateway.responses import Response, Served
 
-# Limits of the register; while no entry may expire yet, new requests are rejected.
+# At either limit, new requests are rejected until entries expire.
 MAX_REQUESTS = 50_000
-MAX_VALUE_BYTES = 16 * 1024 * 1024
+MAX_VALUE_BYTES = 16 * 1024 * 1024  # of all cached values together
 
 
 @dataclass(frozen=True, slots=True)
 class RequestIdentity:
-    """The identifiers that a retransmission repeats unchanged.
+    """The identifiers that are the same in a request and its retransmissions.
 
-    RFC 6733: Origin-Host and End-to-End Identifier; RFC 8506: Session-Id and CC-Request-Number.
+    RFC 6733 uses Origin-Host and End-to-End Identifier, RFC 8506 Session-Id and CC-Request-Number.
     """
 
     origin_host: str
@@ -27,7 +27,7 @@
     request_number: int
 
     def idempotency_key(self) -> str:
-        """The idempotency key for servers: derived from the identity alone, so that every gateway derives the same."""
+        """The idempotency key for servers; every gateway derives the same one, as it depends on the identity alone."""
         parts = (self.origin_host, str(self.end_to_end_id), self.session_id, str(self.request_number))
         serialized = b"".join(b"%d:%b" % (len(part.encode()), part.encode()) for part in parts)
         return hashlib.sha256(serialized).hexdigest()[:16]
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One request: in flight, with the callbacks that wait for its answer, or answered."""
+    """A request, either in flight with the callbacks that wait for its answer, or answered."""
 
     identity: RequestIdentity
     waiting: list[Callable[[Response], None]] = field(default_factory=list)
@@ -43,13 +43,13 @@
 
 
 class _Conflicting:
-    """The type of a result that stands for two different requests."""
+    """The type of CONFLICTING."""
 
 
 class DuplicateRequests:
-    """The recent requests, indexed by both pairs of identifiers."""
+    """The recent requests, indexed by End-to-End Identifier and by Session-Id with CC-Request-Number."""
 
-    CONFLICTING = _Conflicting()
+    CONFLICTING = _Conflicting()  # the identifiers match those of different requests
 
     def __init__(
         self, retention_s: float, now: Callable[[], float], max_requests: int = MAX_REQUESTS
@@ -57,12 +57,15 @@
         self._retention_s, self._now, self._max_requests = retention_s, now, max_requests
         self._by_end_to_end_id: dict[tuple[str, int], Entry] = {}
         self._by_session: dict[tuple[str, str, int], Entry] = {}
-        self._answered: deque[tuple[float, Entry]] = deque()
-        self._value_bytes = 0  # of the cached values
+        self._answered: deque[tuple[float, Entry]] = deque()  # with the time of expiry, oldest first
+        self._value_bytes = 0  # total size of the cached values
 
     def find(self, identity: RequestIdentity) -> Entry | _Conflicting | None:
-        """The request that this one repeats; None for a new one; CONFLICTING where the halves do not agree, as when
-        a client gives one CC-Request-Number to two requests."""
+        """Return the earlier request with this identity; None for a new request.
+
+        CONFLICTING if only some of the identifiers match a request, for example if a client uses one
+        CC-Request-Number for two requests.
+        """
         self._expire()
         by_end_to_end_id = self._by_end_to_end_id.get((identity.origin_host, identity.end_to_end_id))
         by_session = self._by_session.get(
@@ -77,7 +80,7 @@
         )
 
     def begin(self, identity: RequestIdentity) -> Entry | None:
-        """Remember a new request; None where a limit is reached."""
+        """Record a new request as in flight; return None if a limit is reached."""
         if len(self._by_end_to_end_id) >= self._max_requests or self._value_bytes >= MAX_VALUE_BYTES:
             return None
         entry = Entry(identity)
@@ -86,11 +89,11 @@
         return entry
 
     def end(self, entry: Entry, answer: Response, keep: bool) -> None:
-        """Cache the answer for retransmissions, or remove a request that never ran."""
+        """Answer all waiting callbacks; cache the answer for retransmissions if `keep`, else remove the request."""
         entry.answer = answer
         waiting, entry.waiting = entry.waiting, []
         if keep:
-            self._value_bytes += _size(answer)
+            self._value_bytes += _value_size(answer)
             self._answered.append((self._now() + self._retention_s, entry))
         else:
             self._remove(entry)
@@ -101,7 +104,7 @@
         now = self._now()
         while self._answered and self._answered[0][0] <= now:
             entry = self._answered.popleft()[1]
-            self._value_bytes -= _size(entry.answer)
+            self._value_bytes -= _value_size(entry.answer)
             self._remove(entry)
 
     def _remove(self, entry: Entry) -> None:
@@ -110,5 +113,5 @@
         self._by_session.pop((identity.origin_host, identity.session_id, identity.request_number), None)
 
 
-def _size(answer: Response | None) -> int:
+def _value_size(answer: Response | None) -> int:
     return len(answer.value) if isinstance(answer, Served) else 0
--- a/badgeryoke/gateway/diameter/listener.py
+++ b/badgeryoke/gateway/diameter/listener.py
@@ -21,7 +21,7 @@
 
 
 class DiameterListener(TCPServer):
-    """Accepts Diameter clients."""
+    """Accepts Diameter clients and owns their connections."""
 
     def __init__(
         self,
@@ -38,10 +38,10 @@
         self.register = RequestRegister(config, settings, dispatcher, loop, clock)
         self.connections: dict[DiameterClientConnection, None] = {}
         self._max_connections = max_connections
-        self.draining = False  # graceful shutdown: new connections are closed at once
+        self.draining = False  # while True, new connections are closed at once (graceful shutdown)
 
     async def handle_stream(self, stream: IOStream, address: object) -> None:
-        """Serve one accepted connection until it ends."""
+        """Serve one accepted connection until it closes."""
         if self.draining:
             stream.close()
             return
@@ -56,5 +56,5 @@
         await connection.read()
 
     def connection_closed(self, connection: DiameterClientConnection) -> None:
-        """Release the place of a connection that has ended."""
+        """Stop counting a closed connection."""
         self.connections.pop(connection, None)
--- a/badgeryoke/gateway/diameter/peer.py
+++ b/badgeryoke/gateway/diameter/peer.py
@@ -1,4 +1,4 @@
-"""The base protocol of one connection: capabilities exchange, watchdog, disconnection (RFC 6733)."""
+"""The Diameter base protocol on one connection: capabilities exchange, watchdog, disconnect (RFC 6733)."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-EXCHANGE_TIMEOUT_S = 5.0  # for the capabilities exchange, and for the answer to a DPR
-WATCHDOG_JITTER_S = 2.0  # RFC 3539
-PROTOCOL_ERRORS = range(3000, 4000)  # result codes that go with the E bit
+EXCHANGE_TIMEOUT_S = 5.0  # applies to the capabilities exchange and to the answer to a DPR
+WATCHDOG_JITTER_S = 2.0  # as RFC 3539 specifies
+PROTOCOL_ERRORS = range(3000, 4000)  # answers with these result codes have the E bit set
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,9 @@
 
 
 class Peer(Actor):
-    """One connection; the client and the upstream subclass add credit control."""
+    """One connection; subclasses for clients and for servers add credit control."""
 
-    expects_request = True  # the other side opened the connection, and sends the CER
+    expects_cer = True  # the peer opened the connection and so sends the CER; False: it sends the CEA
 
     def __init__(
         self, stream: IOStream, identity: PeerIdentity, loop: ActorScheduler, watchdog_s: float
@@ -53,37 +53,37 @@
         super().__init__(loop)
         self.stream, self.identity = stream, identity
         self.state = PeerState.WAIT_EXCHANGE
-        self.origin_host = ""  # the other side's Origin-Host
+        self.origin_host = ""  # of the peer; empty until the capabilities exchange
         self.last_received_s = loop.time()
         self._framer = codec.Framer()
         self._outgoing: list[bytes] = []
         self._watchdog_s = watchdog_s
-        self._watchdog_pending = False  # a Device-Watchdog-Request awaits its answer
+        self._watchdog_pending = False  # a Device-Watchdog-Request is unanswered
         self._close_after_write = False  # close once the outgoing messages are written
         self._next_id = random.getrandbits(32)
         on_close(stream, lambda: self.post(self._stream_closed))
         loop.call_later(EXCHANGE_TIMEOUT_S, self.deliver, self._exchange_timed_out)
 
     async def read(self) -> None:
-        """Receive messages until the connection ends."""
+        """Receive messages until the connection closes."""
         await pump(self.stream, lambda data: self.deliver(self._receive, data))
 
     def next_id(self) -> int:
-        """A new Hop-by-Hop Identifier; it wraps around at 32 bits."""
+        """Return a new Hop-by-Hop Identifier; it wraps around at 32 bits."""
         self._next_id = (self._next_id + 1) & 0xFFFFFFFF
         return self._next_id
 
-    # What a subclass adds.
+    # Overridden by subclasses.
 
     def handle_credit_control(self, message: Message, avps: list[Avp] | Fault) -> None:
-        """A CCR or a CCA, on an open connection."""
+        """Handle a CCR or a CCA on an open connection."""
         raise NotImplementedError
 
     def capabilities_exchanged(self) -> None:
-        """The capabilities have been exchanged."""
+        """Called when the capabilities have been exchanged."""
 
     def connection_closed(self) -> None:
-        """The connection has ended."""
+        """Called when the connection has closed."""
 
     def accepts_peer(self, host: str) -> bool:
         """Whether a peer with this Origin-Host may connect."""
@@ -92,11 +92,11 @@
     # Writing.
 
     def send(self, message: Message) -> None:
-        """Append a message to those that are written together at the end of the batch."""
+        """Queue a message to be written at the end of the batch."""
         self._outgoing.append(message.encode())
 
     def batch_ended(self) -> None:
-        """Write the messages of the batch with one call, and close afterwards if that was decided."""
+        """Write the queued messages with one call, then close the connection if that was requested."""
         if self.stream.closed():
             return
         if self._outgoing:
@@ -105,7 +105,7 @@
                 self.stream.write(data)
             except StreamClosedError:
                 return
-            except Exception as fault:  # the write buffer's bound
+            except Exception as fault:  # the stream's write buffer is full
                 log.warning("peer %s reads too slowly, connection closed: %s", self.origin_host or "?", fault)
                 self.stream.close()
                 return
@@ -131,7 +131,7 @@
     def send_answer(
         self, request: Message, result: int, extra: list[Avp], session: Avp | None = None
     ) -> None:
-        """Answer a request; protocol errors carry the E bit."""
+        """Answer a request; the E bit is set for protocol errors."""
         avps = [session] if session is not None else []
         avps += [codec.unsigned32_avp(AvpCode.RESULT_CODE, result), *self.origin_avps(), *extra]
         self.send(request.answer(avps, result in PROTOCOL_ERRORS))
@@ -157,9 +157,9 @@
         ]
 
     def send_request(self, command: int, avps: list[Avp]) -> None:
-        """A request of the base protocol."""
-        number = self.next_id()
-        self.send(Message(codec.FLAG_REQUEST, command, 0, number, number, codec.encode_avps(avps)))
+        """Send a request of the base protocol."""
+        identifier = self.next_id()  # Hop-by-Hop and End-to-End Identifier
+        self.send(Message(codec.FLAG_REQUEST, command, 0, identifier, identifier, codec.encode_avps(avps)))
 
     # Reading.
 
@@ -183,7 +183,7 @@
         elif self.state is PeerState.WAIT_EXCHANGE:
             if (message.command_code, message.is_request) != (
                 CommandCode.CAPABILITIES_EXCHANGE,
-                self.expects_request,
+                self.expects_cer,
             ):
                 log.warning("peer sent command %d before the capabilities exchange", message.command_code)
                 self._close_after_write = True
@@ -221,7 +221,7 @@
             self.send_fault_answer(message, Fault(ResultCode.COMMAND_UNSUPPORTED, "command not known"))
 
     def _exchange_capabilities(self, message: Message, avps: list[Avp] | Fault) -> None:
-        """Open the connection by a CER or a CEA, or close it."""
+        """Check a CER or a CEA; change to OPEN if it is acceptable, else close the connection."""
         host, fault = check_capabilities(message, avps, self.accepts_peer)
         if fault is not None:
             log.warning("peer %.80r: capabilities exchange failed: %s", host, fault.text)
@@ -240,14 +240,14 @@
         self._schedule_watchdog()
         self.capabilities_exchanged()
 
-    # Time.
+    # Timers.
 
     def _schedule_watchdog(self) -> None:
         delay_s = self._watchdog_s + random.uniform(-WATCHDOG_JITTER_S, WATCHDOG_JITTER_S)
         self._loop.call_later(max(delay_s, 0.1), self.deliver, self._check_watchdog)
 
     def _check_watchdog(self) -> None:
-        """Send a Device-Watchdog-Request to an idle peer; close the connection if it stays silent (RFC 3539)."""
+        """Send a Device-Watchdog-Request to an idle peer; close the connection if it is not answered (RFC 3539)."""
         if self.state is not PeerState.OPEN:
             return
         if self._loop.time() - self.last_received_s < self._watchdog_s - WATCHDOG_JITTER_S:
@@ -269,7 +269,7 @@
             self.stream.close()
 
     def disconnect(self, cause: int) -> None:
-        """Send a Disconnect-Peer-Request; close on its answer, or after a timeout."""
+        """Send a Disconnect-Peer-Request; close when it is answered, or after a timeout."""
         if self.state is not PeerState.OPEN:
             self._close_after_write = True
             return
--- a/badgeryoke/gateway/diameter/request_register.py
+++ b/badgeryoke/gateway/diameter/request_register.py
@@ -1,4 +1,4 @@
-"""Remembers credit-control requests across connections and submits each to the dispatcher once."""
+"""Deduplicates credit-control requests across connections and submits each to the dispatcher once."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from badgeryoke.gateway.dispatcher import Dispatcher
 from badgeryoke.gateway.responses import Failed, Rejected, Response
 
-# The Retry-After of a rejection because the register, or the connection, is at its limit.
+# The Retry-After of a request that is rejected because the register or the connection is at its limit.
 CAPACITY_RETRY_AFTER_MS = 1000.0
 
 
 class RequestRegister(Actor):
-    """Remembers requests across all connections and submits each to the dispatcher once."""
+    """Deduplicates the requests of all connections and submits each to the dispatcher once."""
 
     def __init__(
         self,
@@ -38,11 +38,13 @@
         self.update_settings(settings)
 
     def update_settings(self, settings: Settings) -> None:
-        """Take the request classes and the number of gateways from new settings."""
-        self._gateways = settings.gateway_count
+        """Read the request classes and the number of gateways from the settings."""
+        self._gateway_count = settings.gateway_count
         self._check_class, self._debit_class = (
-            next((c for c in settings.classes if c.idempotency is effect and name in (None, c.name)), None)
-            for effect, name in (
+            next(
+                (c for c in settings.classes if c.idempotency is idempotency and name in (None, c.name)), None
+            )
+            for idempotency, name in (
                 (Idempotency.IDEMPOTENT, self._config.check_class),
                 (Idempotency.WITH_KEY, self._config.debit_class),
             )
@@ -51,49 +53,52 @@
     def submit(
         self, request: CreditControlRequest, retransmitted: bool, reply: Callable[[Response | Fault], None]
     ) -> None:
-        """Reply with the answer of a new, a running or an answered request, or with its fault."""
+        """Call `reply` with the answer, or with a fault; a duplicate gets the answer of the first request."""
         self.post(self._submit, request, retransmitted, reply)
 
     def _submit(
         self, request: CreditControlRequest, retransmitted: bool, reply: Callable[[Response | Fault], None]
     ) -> None:
-        known = self._duplicates.find(request.identity)
-        if known is DuplicateRequests.CONFLICTING:
+        earlier = self._duplicates.find(request.identity)
+        if earlier is DuplicateRequests.CONFLICTING:
             reply(Fault(ResultCode.UNABLE_TO_COMPLY, "identifiers of two requests: nothing was sent"))
-        elif isinstance(known, Entry):
-            if known.answer is not None:
-                reply(known.answer)
+        elif isinstance(earlier, Entry):
+            if earlier.answer is not None:
+                reply(earlier.answer)
             else:
-                known.waiting.append(reply)
-        elif isinstance(core_request := self._core_request(request, retransmitted), Fault):
-            reply(core_request)
+                earlier.waiting.append(reply)
+        elif isinstance(dispatcher_request := self._build_dispatcher_request(request, retransmitted), Fault):
+            reply(dispatcher_request)
         elif (entry := self._duplicates.begin(request.identity)) is None:
             reply(Rejected(CAPACITY_RETRY_AFTER_MS))
         else:
             entry.waiting.append(reply)
-            # The client's connection may end before the answer: it will retry over another, so the dispatcher
-            # is not notified of the disconnection.
+            # If the connection closes before the answer, the client retries over another one, so the dispatcher
+            # is not notified of the disconnect.
             self._dispatcher.submit(
-                core_request, lambda answer: self.post(self._record_answer, entry, core_request, answer)
+                dispatcher_request,
+                lambda answer: self.post(self._record_answer, entry, dispatcher_request, answer),
             )
 
-    def _record_answer(self, entry: Entry, core_request: Request, answer: Response) -> None:
-        """Cache an answer, unless nothing ran: then a retransmission is handled as a new request.
+    def _record_answer(self, entry: Entry, dispatcher_request: Request, answer: Response) -> None:
+        """Cache the answer of a debit, unless it is a rejection: a retransmission is then handled as a new request.
 
-        A rejection after an attempt that may have run is harmless only while servers know its idempotency key.
-        A Diameter client would take TOO_BUSY to mean that nothing ran, and may retry at any time: the answer
-        is a failure instead.
+        A Diameter client takes TOO_BUSY to mean that the request did not run, and may retry at any time. If an
+        attempt may have run, a retry is safe only while servers know the idempotency key, so the client gets a
+        failure instead of TOO_BUSY.
         """
-        if isinstance(answer, Rejected) and answer.may_have_run and core_request.idempotency_key:
+        if isinstance(answer, Rejected) and answer.may_have_run and dispatcher_request.idempotency_key:
             answer = Failed("may have run")
-        if isinstance(answer, Rejected) and core_request.send_by_ms is not None:
+        if isinstance(answer, Rejected) and dispatcher_request.send_by_ms is not None:
             answer = Failed("the first try may have run")
         self._duplicates.end(
-            entry, answer, keep=bool(core_request.idempotency_key) and not isinstance(answer, Rejected)
+            entry, answer, keep=bool(dispatcher_request.idempotency_key) and not isinstance(answer, Rejected)
         )
 
-    def _core_request(self, request: CreditControlRequest, retransmitted: bool) -> Request | Fault:
-        """The request for the dispatcher; a fault for one that must not be forwarded."""
+    def _build_dispatcher_request(
+        self, request: CreditControlRequest, retransmitted: bool
+    ) -> Request | Fault:
+        """Build the dispatcher's request; return a fault if it must not be forwarded."""
         is_debit = request.action == codec.DIRECT_DEBITING
         request_class = self._debit_class if is_debit else self._check_class
         plan = self._config.plans.get(request.service)
@@ -105,34 +110,34 @@
             )
         send_by_ms: float | None = None
         if is_debit and retransmitted:
-            deadline = self._retransmission_deadline_ms(request, request_class)
-            if isinstance(deadline, Fault):
-                return deadline
-            send_by_ms = deadline
-        core_request = Request(
+            deadline_ms = self._retransmission_deadline_ms(request, request_class)
+            if isinstance(deadline_ms, Fault):
+                return deadline_ms
+            send_by_ms = deadline_ms
+        dispatcher_request = Request(
             id=f"{random.getrandbits(64):016x}",
             request_class=request_class.name,
             plan=plan,
             customer=request.customer,
             remaining_ms=self._config.deadline_ms or request_class.deadline_ms,
             units=float(request.units or 1),
-            gateway_set_size=self._gateways,
+            gateway_set_size=self._gateway_count,
             retry=retransmitted,
             idempotency_key=request.identity.idempotency_key() if is_debit else "",
             body=request.body,
             send_by_ms=send_by_ms,
         )
-        if problem := self._dispatcher.validate(core_request):
+        if problem := self._dispatcher.validate(dispatcher_request):
             return Fault(ResultCode.INVALID_AVP_VALUE, problem)
-        return core_request
+        return dispatcher_request
 
     def _retransmission_deadline_ms(
         self, request: CreditControlRequest, request_class: RequestClass
     ) -> float | Fault:
-        """Until when a debit of an unknown first attempt may be forwarded under its idempotency key.
+        """The time until which a retransmitted debit may be forwarded, if the original request is not in the register.
 
-        Only a server that still knows the key can drop the duplicate.  An Event-Timestamp is truncated to
-        whole seconds, so that the first attempt is at least as young as it says.
+        A server drops the duplicate only within its deduplication window. The window is counted from the
+        Event-Timestamp, which is truncated to whole seconds, so it never ends too late.
         """
         event_time_ms = None if request.event_time_s is None else request.event_time_s * 1000.0
         if event_time_ms is not None:
--- a/badgeryoke/gateway/diameter/upstream_connection.py
+++ b/badgeryoke/gateway/diameter/upstream_connection.py
@@ -1,4 +1,4 @@
-"""A Diameter server as a backend: one connection, answers matched by Hop-by-Hop Identifier (RFC 6733, RFC 8506)."""
+"""A Diameter server as an upstream, over one connection; answers are matched by Hop-by-Hop Identifier (RFC 6733)."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 log = logging.getLogger(__name__)
 
-IDLE_FRACTION = 0.5  # of the idle timeout in the settings
-MAX_ATTEMPTS_IN_FLIGHT = 1024  # attempts of one connection
+IDLE_FRACTION = 0.5  # connections are closed after this fraction of the idle timeout in the settings
+MAX_ATTEMPTS_IN_FLIGHT = 1024  # per connection; also the limit of those that wait for a connection
 
 
 class UpstreamPeer(Peer):
     """A connection to a server, and the attempts in flight on it."""
 
-    expects_request = False
+    expects_cer = False
 
     def __init__(
         self, stream: IOStream, owner: DiameterUpstream, loop: ActorScheduler, watchdog_s: float
@@ -38,15 +38,15 @@
         super().__init__(stream, owner.identity, loop, watchdog_s)
         self._owner = owner
         self.in_flight: dict[int, Attempt] = {}
-        self._unwritten: list[Attempt] = []  # of the current batch
+        self._unwritten: list[Attempt] = []  # the attempts of the current batch
         self.last_used_s = loop.time()
 
     def capabilities_exchanged(self) -> None:
-        """Send the attempts that waited for the connection."""
+        """Notify the owner, which sends the attempts that wait for the connection."""
         self._owner.post(self._owner.connection_opened, self)
 
     def connection_closed(self) -> None:
-        """Fail the attempts in flight; each knows whether it was written, and so may have run."""
+        """Fail the attempts in flight; those that were written may have run."""
         in_flight, self.in_flight = self.in_flight, {}
         for attempt in in_flight.values():
             attempt.on_abort = None
@@ -86,14 +86,14 @@
         if not batch or self.stream.closed():
             return
         partly_written = self.stream.writing()
-        # All but the last message of a partly written batch may have been sent completely, and may run.
+        # In a partly written batch, all messages but the last may have been sent completely, and may run.
         for attempt in batch[:-1] if partly_written else batch:
             attempt.written()
         if partly_written:
             self._loop.call_later(0.0, self.deliver, self._check_written, batch[-1])
 
     def _check_written(self, last: Attempt) -> None:
-        """Mark the last attempt written once the stream is flushed; if it closes earlier, it never ran."""
+        """Mark the last attempt as written once the stream is flushed; if the stream closes first, it never ran."""
         if self.stream.closed():
             return
         if self.stream.writing():
@@ -102,10 +102,10 @@
             last.written()
 
     def _attempt_abandoned(self, hop_by_hop_id: int, attempt: Attempt) -> None:
-        """Forget an abandoned attempt: credit control has no request to cancel another.
+        """Drop an abandoned attempt; credit control has no request that cancels another.
 
-        Where the request has its final answer, a late CCA is ignored; where another attempt may follow, only
-        closing the connection ends this one.
+        If the request already has its final answer, a late CCA is ignored. If another attempt may follow, the
+        connection is closed, since this is the only way to stop the abandoned attempt.
         """
         if self.in_flight.get(hop_by_hop_id) is not attempt:
             return
@@ -114,7 +114,7 @@
             self.stream.close()
 
     def handle_credit_control(self, message: Message, avps: list[Avp] | Fault) -> None:
-        """End the attempt that a Credit-Control-Answer belongs to, by its Hop-by-Hop Identifier."""
+        """End the attempt with the Hop-by-Hop Identifier of a Credit-Control-Answer."""
         if message.is_request:
             self.send_fault_answer(
                 message, Fault(ResultCode.UNABLE_TO_COMPLY, "this side serves no credit control")
@@ -132,14 +132,14 @@
     def disconnect_if_drained(self) -> None:
         """Disconnect from a draining server once no attempt is in flight.
 
-        The watchdog would keep the connection open forever.
+        Otherwise the watchdog would keep the connection open indefinitely.
         """
         if self._owner.draining and not self.in_flight and self.state is PeerState.OPEN:
             self.disconnect(codec.DO_NOT_WANT_TO_TALK_TO_YOU)
 
 
 class DiameterUpstream(Actor):
-    """One Diameter server: connected on demand, and again on demand after a connection loss."""
+    """One Diameter server; the gateway connects to it on demand, also after a connection loss."""
 
     def __init__(
         self,
@@ -188,7 +188,7 @@
 
     def _connect(self) -> None:
         if self.lease is not None and not self.lease.may_open():
-            return  # waiting attempts have their own timeout
+            return  # the waiting attempts time out by themselves
         try:
             stream, connecting = (dial if self.lease is None else self.lease.dial)(
                 self.address, 4 * codec.MAX_MESSAGE_BYTES
@@ -221,7 +221,7 @@
                 connection.post(connection.write, attempt)
 
     def connection_closed(self, connection: UpstreamPeer) -> None:
-        """Reconnect for attempts that arrived while an open connection closed; fail them otherwise."""
+        """Reconnect for the waiting attempts if the connection had been open; fail them otherwise."""
         if connection is not self._connection:
             return
         self._connection = None
@@ -260,7 +260,7 @@
             self._connect()
 
     def log_first_fault(self, description: str) -> None:
-        """Log the first fault of a server; later ones are not logged."""
+        """Log the first fault of the server; later ones are not logged."""
         if not self._fault_logged:
             self._fault_logged = True
             log.warning("server %s:%d %s", *self.address, description)
--- a/badgeryoke/gateway/diameter/upstream_request.py
+++ b/badgeryoke/gateway/diameter/upstream_request.py
@@ -1,4 +1,4 @@
-"""Encodes the Credit-Control-Request of an attempt and ends the attempt by its answer (RFC 8506)."""
+"""Encodes the Credit-Control-Request of an attempt and ends the attempt according to the answer (RFC 8506)."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 def session_identifiers(request: Request, realm: str) -> tuple[str, int]:
-    """Session-Id and End-to-End Identifier.
+    """Return the Session-Id and the End-to-End Identifier.
 
-    With an idempotency key they derive from the key alone, so that a server recognizes the duplicate that
-    another gateway sends.
+    With an idempotency key, they are derived from the key alone, so that a server recognizes a duplicate that
+    was sent by another gateway.
     """
     identifier = request.idempotency_key or request.id
     checksum = zlib.crc32(identifier.encode())
@@ -42,7 +42,7 @@
     hop_by_hop_id: int,
     retransmitted: bool,
 ) -> bytes:
-    """The Credit-Control-Request of an event."""
+    """Encode the Credit-Control-Request of a one-time event."""
     session_id, end_to_end_id = session_identifiers(request, identity.realm)
     avps = [
         codec.text_avp(AvpCode.SESSION_ID, session_id),
@@ -75,29 +75,29 @@
 
 
 def end_attempt(attempt: Attempt, avps: list[Avp] | Fault) -> str | None:
-    """End an attempt by its CCA; the result says what was malformed.
+    """End an attempt according to its CCA; return a description of what was malformed, or None.
 
-    A server that is too busy ran nothing, so another server may be tried; after any other failure the request
-    may have run.
+    With TOO_BUSY the request did not run, so another server may be tried; after any other failure it may have
+    run.
     """
     if isinstance(avps, Fault):
         attempt.failed("malformed answer")
         return avps.text
-    code = codec.find_avp(avps, AvpCode.RESULT_CODE)
-    result = None if code is None else codec.read_unsigned32(code)
-    if result is None or isinstance(result, Fault):
+    result_code_avp = codec.find_avp(avps, AvpCode.RESULT_CODE)
+    result_code = None if result_code_avp is None else codec.read_unsigned32(result_code_avp)
+    if result_code is None or isinstance(result_code, Fault):
         attempt.failed("malformed answer")
         return "answer without a Result-Code"
-    if result == ResultCode.TOO_BUSY:
+    if result_code == ResultCode.TOO_BUSY:
         attempt.rejected("DIAMETER_TOO_BUSY")
-    elif 2000 <= result < 3000:
+    elif 2000 <= result_code < 3000:
         value = codec.read_value(avps)
-        granted = codec.find_avp(avps, AvpCode.GRANTED_SERVICE_UNIT)
-        units = None if granted is None else codec.read_units(granted)
+        granted_avp = codec.find_avp(avps, AvpCode.GRANTED_SERVICE_UNIT)
+        units = None if granted_avp is None else codec.read_units(granted_avp)
         if isinstance(value, Fault) or isinstance(units, Fault):
             attempt.succeeded(b"", 0.0)
             return "answer with unreadable units or value"
         attempt.succeeded(value or b"", float(units or 0))
     else:
-        attempt.failed(f"Result-Code {result}")
+        attempt.failed(f"Result-Code {result_code}")
     return None
--- a/tests/gateway/diameter/test_golden_diameter.py
+++ b/tests/gateway/diameter/test_golden_diameter.py
@@ -145,7 +145,7 @@
 class OpeningPeer(Peer):
     """The side that sends the CER."""
 
-    expects_request = False
+    expects_cer = False
 
 
 def received(peer: Peer, stream: Stream, data: bytes = b"") -> bytes:
