--- a/badgeryoke/gateway/config/diameter_file.py
+++ b/badgeryoke/gateway/config/diameter_file.py
@@ -1,4 +1,4 @@
-"""The operators' Diameter file, deploy/diameter.toml: read and validated."""
+"""Reads and validates the operators' Diameter file, deploy/diameter.toml."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from badgeryoke.gateway.config.values import read_address, read_number, read_table
 
 DIAMETER_FILE = "diameter.toml"
-MAX_IDENTITY_CHARACTERS = 255  # of a DiameterIdentity
-DEFAULT_WATCHDOG_S, MIN_WATCHDOG_S = 30, 6  # RFC 3539 allows no less
+MAX_IDENTITY_CHARACTERS = 255  # in a DiameterIdentity
+DEFAULT_WATCHDOG_S, MIN_WATCHDOG_S = 30, 6  # the minimum of RFC 3539
 DEFAULT_ANSWERS_KEPT_S, MIN_ANSWERS_KEPT_S = 240, 1
-# What a class has to be, by the key of [classes] that names it.
+# The idempotency that the class named by each key of [classes] must have.
 CLASS_IDEMPOTENCY = {"check": Idempotency.IDEMPOTENT, "debit": Idempotency.WITH_KEY}
 
 
 def read_diameter(path: Path, settings: Settings) -> DiameterConfig | None:
-    """The file at a path; None where it is absent or does not enable Diameter.  Raises ConfigError.
+    """Read the file at `path`; None if it is absent or does not enable Diameter.  Raises ConfigError.
 
-    The plans and classes that it names have to be among the settings'.  Where these have none, as for
-    `badgeryoke check`, the file is validated by itself.
+    The plans and classes that it names must exist in the settings.  If the settings have none, as for
+    `badgeryoke check`, the names are not checked.
     """
     try:
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -42,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _DiameterFile:
-    """An enabled file, parsed and to be validated; the first fault found is raised."""
+    """The parsed content of a file that enables Diameter; validation raises the first fault found."""
 
     name: str
     raw: Mapping[str, object]
     settings: Settings
 
     def read(self) -> DiameterConfig:
-        """Validate all values, in the order of the file; raises ConfigError."""
+        """Validate all values and build the configuration; raises ConfigError."""
         origin_host, origin_realm = self._identity("origin_host"), self._identity("origin_realm")
         listen = self._listen()
         plans = self._plans()
@@ -59,8 +59,8 @@
             origin_host=origin_host,
             origin_realm=origin_realm,
             plans=plans,
-            server_kinds=self._words("server_kinds"),
-            clients=self._words("clients"),
+            server_kinds=self._strings("server_kinds"),
+            clients=self._strings("clients"),
             deadline_ms=read_number(self.name, self.raw, "deadline_ms", 0, 0),
             watchdog_s=read_number(self.name, self.raw, "watchdog_s", DEFAULT_WATCHDOG_S, MIN_WATCHDOG_S),
             answers_kept_s=read_number(
@@ -90,10 +90,10 @@
         return listen
 
     def _plans(self) -> dict[int, str]:
-        known = {plan.name for plan in self.settings.plans}
+        plan_names = {plan.name for plan in self.settings.plans}
         plans: dict[int, str] = {}
         for key, plan in read_table(f"{self.name}: plans", self.raw.get("plans", {})).items():
-            if not key.isdigit() or not isinstance(plan, str) or (known and plan not in known):
+            if not key.isdigit() or not isinstance(plan, str) or (plan_names and plan not in plan_names):
                 raise ConfigError(
                     f"{self.name}: plans.{key}: expected Service-Identifier = a plan of the settings"
                 )
@@ -101,24 +101,24 @@
         return plans
 
     def _classes(self) -> tuple[str | None, str | None]:
-        """The classes of CHECK_BALANCE and of DIRECT_DEBITING."""
-        chosen: dict[str, str] = {}
+        """Return the classes of CHECK_BALANCE and of DIRECT_DEBITING."""
+        class_names: dict[str, str] = {}
         for key, value in read_table(f"{self.name}: classes", self.raw.get("classes", {})).items():
             if key not in CLASS_IDEMPOTENCY or not isinstance(value, str) or not self._has_class(key, value):
                 raise ConfigError(
                     f"{self.name}: classes.{key}: expected check = a class that is safe to repeat, or debit "
                     f"= one that takes a key"
                 )
-            chosen[key] = value
-        return chosen.get("check"), chosen.get("debit")
+            class_names[key] = value
+        return class_names.get("check"), class_names.get("debit")
 
     def _has_class(self, key: str, name: str) -> bool:
-        wanted = (name, CLASS_IDEMPOTENCY[key])
+        required = (name, CLASS_IDEMPOTENCY[key])
         classes = self.settings.classes
-        return not classes or any((cls.name, cls.idempotency) == wanted for cls in classes)
+        return not classes or any((cls.name, cls.idempotency) == required for cls in classes)
 
-    def _words(self, key: str) -> frozenset[str]:
+    def _strings(self, key: str) -> frozenset[str]:
         value = self.raw.get(key, [])
-        if not isinstance(value, list) or not all(isinstance(word, str) for word in value):
+        if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
             raise ConfigError(f"{self.name}: {key}: expected a list of words")
         return frozenset(value)
--- a/badgeryoke/gateway/config/errors.py
+++ b/badgeryoke/gateway/config/errors.py
@@ -1,5 +1,5 @@
-"""The error of configuration that cannot be used."""
+"""The error that is raised for an invalid configuration."""
 
 
 class ConfigError(Exception):
-    """Configuration that cannot be used; its text names the key at fault, for whoever edits the file."""
+    """An invalid configuration; the message names the key at fault."""
--- a/badgeryoke/gateway/config/file_shape.py
+++ b/badgeryoke/gateway/config/file_shape.py
@@ -1,18 +1,18 @@
-"""Which keys a configuration file has: a file that is read again must not lack keys of the one before."""
+"""Compares the keys of configuration files: on a reload, the file must still have all keys of the previous one."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-# The keys of an object, with the shape of each value; None for a value that is no object.  Of a list of
-# objects, the keys that all of them have.
+# The keys of an object, with the shape of each value; for a list of objects, the keys common to all of them;
+# None for any other value.
 FileShape = Mapping[str, "FileShape"] | None
 
-OPTIONAL_KEYS = frozenset({"known", "seed", "mgmt", "aim_stretch"})  # may be absent from a later file
+OPTIONAL_KEYS = frozenset({"known", "seed", "mgmt", "aim_stretch"})  # a reloaded file may omit them
 
 
 def shape_of(value: object) -> FileShape:
-    """The keys that a file read later has to have as well."""
+    """Return the keys that a reloaded file must have."""
     if isinstance(value, dict):
         return {key: shape_of(inner) for key, inner in value.items() if key not in OPTIONAL_KEYS}
     if isinstance(value, list) and value and all(isinstance(entry, dict) for entry in value):
@@ -22,7 +22,7 @@
 
 
 def first_missing_key(old: FileShape, new: FileShape, path: str = "") -> str | None:
-    """The first key of the old file that the new one lacks, as a dotted path; None where it lacks none."""
+    """Return the first key that only the old file has, as a dotted path; None if there is none."""
     for key, inner in (old or {}).items():
         if new is None or key not in new:
             return path + key
--- a/badgeryoke/gateway/config/model.py
+++ b/badgeryoke/gateway/config/model.py
@@ -16,37 +16,37 @@
 class DiameterConfig:
     """The Diameter listener and the Diameter servers, as deploy/diameter.toml describes them."""
 
-    listen: Address | None  # None: only Diameter servers, no listener
+    listen: Address | None  # None: no listener, only Diameter servers
     origin_host: str
     origin_realm: str
     plans: Mapping[int, str]  # the plan of each Service-Identifier
-    server_kinds: frozenset[str]  # discovery's kinds whose servers speak Diameter
-    clients: frozenset[str]  # the Origin-Hosts that are accepted; empty: all
-    deadline_ms: float  # how long a client waits for a CCA (its Tx timer); 0: the class's deadline
+    server_kinds: frozenset[str]  # the endpoint list's kinds of servers that speak Diameter
+    clients: frozenset[str]  # the Origin-Hosts that may connect; empty: any
+    deadline_ms: float  # how long clients wait for a CCA (their Tx timer); 0: the class's deadline
     watchdog_s: float
-    answers_kept_s: float  # how long an answer is cached for repeated requests
-    check_class: str | None = None  # of a CHECK_BALANCE; None: the first idempotent class of the settings
-    debit_class: str | None = None  # of a DIRECT_DEBITING; None: the first that takes an idempotency key
+    answers_kept_s: float  # how long an answer is cached for retransmissions
+    check_class: str | None = None  # for CHECK_BALANCE; None: the first idempotent class of the settings
+    debit_class: str | None = None  # for DIRECT_DEBITING; None: the first that takes an idempotency key
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """All that a gateway is configured with; a field that is a key of a file bears the key's name."""
+    """The complete configuration of a gateway; a field that holds the value of a file's key has that key's name."""
 
     name: str
     listen: Address
     discovery: Address
-    counter: Address | None  # the quota counter; None: there is none
+    counter: Address | None  # of the quota counter; None: there is none
     seed: int
     sockets: int  # file descriptors that may be in use for connections
     memory_mb: float
     known: EndpointSnapshot | None  # the cached endpoint list, used until discovery answers
     settings: Settings
     report_names: tuple[str, ...]  # the fields of the load reports that come with answers
-    connect_ms: float  # the time limit for connecting to a server
+    connect_ms: float  # the timeout for connecting to a server
     idle_ms: float  # how long a server keeps an idle connection
     drain_s: float  # from SIGTERM or PAUSE until connections are closed
-    mgmt: Address | None = None  # the admin address; None: nothing listens
+    mgmt: Address | None = None  # the admin address; None: no admin server
     folder: str | None = None  # shared by both processes of a hot restart, where the socket is inherited
     file_shape: FileShape = None  # the keys of the platform's file
     socket_fd: int | None = None  # the clients' listening socket, inherited from the platform
--- a/badgeryoke/gateway/config/operators_file.py
+++ b/badgeryoke/gateway/config/operators_file.py
@@ -1,7 +1,7 @@
-"""The operators' own file, deploy/badgeryoke.toml: what an installation switches on.
+"""Reads the operators' own file, deploy/badgeryoke.toml, which enables optional features.
 
-What the platform configures is read by `platform_file`.  Without this file, or with an empty one, everything
-is off.
+The configuration that the platform provides is read by `platform_file`.  If this file is absent or empty, all
+optional features are off.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class OperatorsError(Exception):
-    """A file that cannot be used: one line for each fault, each with the key to mend."""
+    """An invalid file; `faults` has one line per fault, which names the key."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -27,13 +27,13 @@
 
 
 class CounterWatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Health monitoring of the quota counter, at no more than two calls a second."""
+    """Health monitoring of the quota counter, at no more than two calls per second."""
 
     enabled: bool = False
 
 
 class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The format and the least severe level of log lines."""
+    """The format of log lines, and the lowest level that is logged."""
 
     format: Literal["text", "json"] = "text"
     level: Literal["debug", "info", "warning", "error"] = "info"
@@ -44,16 +44,15 @@
 
     counter_watch: CounterWatch = CounterWatch()
     log: Log = Log()
-    # badgeryoke.gateway.cluster.settings.ClusterSettings, or None where the cluster is off.  Any: msgspec
-    # resolves the annotation at run time, and the cluster's modules are not loaded where it is off.
+    # A badgeryoke.gateway.cluster.settings.ClusterSettings, or None if the cluster is off.  Annotated as Any
+    # because msgspec resolves annotations at run time, and the cluster's modules are only loaded if it is on.
     fleet: Any = None
 
 
 def read_operators(path: Path, all_sections: bool = False) -> Operators:
-    """The file at a path; defaults where it is absent.  Raises OperatorsError with all faults.
+    """Read the file at `path`; return the defaults if it is absent.  Raises OperatorsError with all faults.
 
-    A [fleet] section that is switched off is validated with `all_sections` only: that loads the cluster's
-    libraries.
+    A disabled [fleet] section is validated only with `all_sections`, since that loads the cluster's libraries.
     """
     try:
         text = path.read_bytes()[:MAX_FILE_BYTES].decode()
@@ -62,15 +61,17 @@
         return Operators()
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
         raise OperatorsError([f"{path.name}: {error}"]) from None
-    section = raw.pop("fleet", {})
+    fleet_section = raw.pop("fleet", {})
     faults = unknown_keys(raw, Operators, "") + malformed_values(raw, Operators, "")
     fleet = None
-    if not isinstance(section, dict):
-        faults.append(f"fleet: expected a table, got {section!r}")
-    elif section.get("enabled", False) is not False or (all_sections and set(section) > {"enabled"}):
+    if not isinstance(fleet_section, dict):
+        faults.append(f"fleet: expected a table, got {fleet_section!r}")
+    elif fleet_section.get("enabled", False) is not False or (
+        all_sections and set(fleet_section) > {"enabled"}
+    ):
         from badgeryoke.gateway.cluster.settings import read_cluster_settings
 
-        fleet, fleet_faults = read_cluster_settings(section)
+        fleet, fleet_faults = read_cluster_settings(fleet_section)
         faults += fleet_faults
     if faults:
         raise OperatorsError([f"{path.name}: {fault}" for fault in faults])
--- a/badgeryoke/gateway/config/platform_file.py
+++ b/badgeryoke/gateway/config/platform_file.py
@@ -1,4 +1,4 @@
-"""Reads the configuration of a gateway: environment, the platform's JSON file, the operators' files."""
+"""Reads the configuration of a gateway from the environment, the platform's JSON file and the operators' files."""
 
 from __future__ import annotations
 
@@ -32,21 +32,22 @@
 
 DEPLOY_FOLDER = "deploy"
 MAX_FILE_BYTES = 16 * 1024 * 1024
-MAX_LOGGED_KEYS, MAX_LOGGED_KEY_CHARACTERS = 20, 64  # of unknown settings
-SHOWN_CHARACTERS = 64  # of a malformed setting, in the error's text
-SHOWN_DESCRIPTOR_CHARACTERS = 32
-# The platform's load balancer goes on opening connections for 0.2 to 0.4 s after a SIGTERM; these, and the
-# requests on them, are still accepted.
+MAX_LOGGED_KEYS, MAX_LOGGED_KEY_CHARACTERS = 20, 64  # of unknown settings, in the log line
+MAX_SHOWN_CHARACTERS = 64  # of a malformed setting, in error messages
+MAX_SHOWN_DESCRIPTOR_CHARACTERS = 32  # of a malformed LB_SOCKET_FD, in error messages
+# The platform's load balancer opens new connections until 0.2 to 0.4 s after a SIGTERM; these and their requests are
+# still accepted.
 DRAIN_S = 0.45
 DEFAULT_SOCKETS, MIN_SOCKETS = 1024, 64
 DEFAULT_MEMORY_MB, MIN_MEMORY_MB = 192, 16
 MIN_CONNECT_MS = MIN_IDLE_MS = 1.0
-LOAD_REPORTS = {"answers": True, "probe": False, "none": False}  # whether answers carry load reports
+# Whether answers carry load reports, for each value of the setting feedback.how.
+LOAD_REPORTS = {"answers": True, "probe": False, "none": False}
 
 
 @dataclass(frozen=True, slots=True)
 class _SettingsSection:
-    """The file's `settings`: the decision module's, and those that the gateway itself uses."""
+    """The settings of the decision engine, and those that only the gateway uses."""
 
     settings: Settings
     connect_ms: float
@@ -55,33 +56,33 @@
 
 
 def read_config(environ: Mapping[str, str], root: Path, is_reload: bool = False) -> Config:
-    """Read and validate everything; raises ConfigError.
+    """Read and validate the whole configuration; raises ConfigError.
 
-    `root`: the folder that holds deploy/.  At the start an environment variable takes precedence over the
-    same key of the file.  With `is_reload`, the file takes precedence: a process keeps the
-    environment it was started with, so a new value can only be in the file.
+    `root` is the folder that contains deploy/.  At startup, an environment variable takes precedence over the
+    same key of the file.  With `is_reload`, the file takes precedence for `discovery`: the environment of a
+    running process does not change, so a new value can only be in the file.
     """
     raw = _read_platform_file(environ)
     section = _read_settings(raw)
     settings = section.settings
     seed = _read_seed(raw)
-    known = _read_known(raw)
+    cached_endpoints = _read_cached_endpoints(raw)
     operators = _read_operators(root, settings)
     limits = read_table("limits", raw.get("limits", {}))
-    counter = raw.get("counter")
-    if settings.has_counter and not counter:
+    counter_address = raw.get("counter")
+    if settings.has_counter and not counter_address:
         raise ConfigError("counter: missing, though settings.family_info.has_counter is set")
     listen = read_address("LB_LISTEN", environ.get("LB_LISTEN") or raw.get("listen"))
-    mgmt = _read_mgmt(environ, raw, listen)
+    mgmt = _read_admin_address(environ, raw, listen)
     return Config(
         name=environ.get("LB_NAME") or str(raw.get("name", "")),
         listen=listen,
         discovery=_read_discovery(environ, raw, is_reload),
-        counter=read_address("counter", counter) if counter else None,
+        counter=read_address("counter", counter_address) if counter_address else None,
         seed=seed,
         sockets=int(read_number("limits", limits, "sockets", DEFAULT_SOCKETS, MIN_SOCKETS)),
         memory_mb=read_number("limits", limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB),
-        known=known,
+        known=cached_endpoints,
         settings=settings,
         report_names=section.report_names,
         connect_ms=section.connect_ms,
@@ -97,7 +98,7 @@
 
 
 def _read_platform_file(environ: Mapping[str, str]) -> dict[str, Any]:
-    """The file as parsed from its JSON; Any, since its values are still to be validated."""
+    """Parse the JSON file; the values are Any because they are not validated yet."""
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG: not set")
@@ -131,10 +132,10 @@
 
 
 def _read_report_names(feedback: SettingsReader) -> tuple[str, ...]:
-    """The fields of the load reports that come with answers."""
+    """Read the names of the fields of the load reports that answers carry."""
     fields = feedback.raw_value("fields")
     if not isinstance(fields, list) or not all(isinstance(name, str) for name in fields):
-        shown = repr(fields)[:SHOWN_CHARACTERS]
+        shown = repr(fields)[:MAX_SHOWN_CHARACTERS]
         raise ValueError(f"setting feedback.fields: expected a list of names, got {shown}")
     return tuple(fields) if feedback.choice("how", LOAD_REPORTS) else ()
 
@@ -146,8 +147,8 @@
         raise ConfigError("seed: expected hex digits") from None
 
 
-def _read_known(raw: Mapping[str, object]) -> EndpointSnapshot | None:
-    """The cached endpoint list."""
+def _read_cached_endpoints(raw: Mapping[str, object]) -> EndpointSnapshot | None:
+    """Read the cached endpoint list; None if the file has none."""
     if raw.get("known") is None:
         return None
     try:
@@ -166,8 +167,10 @@
     return operators
 
 
-def _read_mgmt(environ: Mapping[str, str], raw: Mapping[str, object], listen: Address) -> Address | None:
-    """The admin address."""
+def _read_admin_address(
+    environ: Mapping[str, str], raw: Mapping[str, object], listen: Address
+) -> Address | None:
+    """Read the admin address; None if neither the environment nor the file has one."""
     key = "LB_MGMT" if environ.get("LB_MGMT") else "mgmt"
     if not (value := environ.get("LB_MGMT") or raw.get("mgmt")):
         return None
@@ -184,7 +187,7 @@
 
 
 def _read_socket_fd(value: str | None) -> int | None:
-    """The descriptor of an inherited listening socket."""
+    """Read the file descriptor of an inherited listening socket."""
     if not value:
         return None
     try:
@@ -193,6 +196,6 @@
             if inherited.type != socket.SOCK_STREAM or not listens:
                 raise ValueError
     except (ValueError, OSError, OverflowError):
-        shown = value[:SHOWN_DESCRIPTOR_CHARACTERS]
+        shown = value[:MAX_SHOWN_DESCRIPTOR_CHARACTERS]
         raise ConfigError(f"LB_SOCKET_FD: {shown!r} is no listening TCP socket") from None
     return int(value)
--- a/badgeryoke/gateway/config/values.py
+++ b/badgeryoke/gateway/config/values.py
@@ -1,4 +1,4 @@
-"""Reading single values of a parsed file; each raises ConfigError with the key at fault."""
+"""Functions that read single values of a parsed file; they raise ConfigError with the key at fault."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_address(key: str, value: object) -> Address:
-    """An `IP:PORT`."""
+    """Parse an `IP:PORT`."""
     try:
         return parse_address(str(value))
     except ValueError as error:
@@ -27,7 +27,7 @@
     minimum: float,
     maximum: float = MAX_NUMBER,
 ) -> float:
-    """A number within bounds, or the default where the table lacks it."""
+    """Return table[name], a number within bounds, or the default; `key` is the path of the table."""
     value = table.get(name, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value <= maximum:
         raise ConfigError(f"{key}.{name}: expected a number from {minimum:g} to {maximum:g}, got {value!r}")
@@ -35,7 +35,7 @@
 
 
 def read_table(key: str, value: object) -> dict[str, Any]:
-    """An object of JSON or a table of TOML; Any, since its values are still to be validated."""
+    """Return a JSON object or a TOML table; its values are Any because they are not validated yet."""
     if not isinstance(value, dict):
         raise ConfigError(f"{key}: expected an object")
     return value
