--- a/badgeryoke/cli/__init__.py
+++ b/badgeryoke/cli/__init__.py
@@ -1,6 +1,6 @@
 """The command line: `badgeryoke serve | check | lab | demo`, built on click.
 
-Exit codes, the same for every command: 0 done and good, 1 done and a figure is bad (a ceiling broken, the
-stated error passed), 2 what was given cannot be used (a file, a key, a word), 3 something needed is not
-installed, 4 it could not be carried out (a gateway that does not start), 130 interrupted.
+Exit codes, the same for every command: 0 success; 1 completed, but a figure is bad (a ceiling or the stated error
+was exceeded); 2 invalid input (a file, a key or an argument); 3 a dependency is not installed; 4 execution failed
+(for example, a gateway did not start); 130 interrupted.
 """
--- a/badgeryoke/cli/main.py
+++ b/badgeryoke/cli/main.py
@@ -1,4 +1,4 @@
-"""The commands that need no laboratory, and the way to those that do."""
+"""The commands `serve` and `check`; adds `lab` and `demo` where the `lab` extra is installed."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from badgeryoke.gateway.config.operators_file import OPERATORS_FILE, OperatorsError, read_operators
 from badgeryoke.gateway.config.platform_file import read_config
 
-BAD, UNUSABLE, MISSING, FAILED = 1, 2, 3, 4
+EXIT_BAD_FIGURE, EXIT_INVALID_INPUT, EXIT_NOT_INSTALLED, EXIT_FAILED = 1, 2, 3, 4
 
 
-def say_json(value: object) -> None:
-    """One JSON document on standard output, keys in order."""
+def print_json(value: object) -> None:
+    """Print one JSON document to standard output, with sorted keys."""
     click.echo(ujson.dumps(value, sort_keys=True, escape_forward_slashes=False))
 
 
-CODES = (
+EXIT_CODES_HELP = (
     "Exit codes: 0 good, 1 a figure is bad, 2 what was given cannot be used, 3 something is not "
     "installed, 4 could not be carried out."
 )
 
 
-@click.group(context_settings={"help_option_names": ["-h", "--help"]}, epilog=CODES)
+@click.group(context_settings={"help_option_names": ["-h", "--help"]}, epilog=EXIT_CODES_HELP)
 @click.version_option(package_name="badgeryoke")
 def cli() -> None:
     """badgeryoke: a gateway that keeps each customer of shared servers to its plan.
@@ -56,7 +56,7 @@
         asyncio.run(main())
     except ConfigError as fault:
         click.echo(f"badgeryoke: configuration: {fault}", err=True)
-        sys.exit(UNUSABLE)
+        sys.exit(EXIT_INVALID_INPUT)
 
 
 @cli.command()
@@ -93,15 +93,15 @@
         except OperatorsError as fault:
             faults = fault.faults
     if as_json:
-        say_json({"file": str(file), "good": not faults, "faults": faults})
+        print_json({"file": str(file), "good": not faults, "faults": faults})
     else:
         for line in faults or [f"{file}: good"]:
             click.echo(line, err=bool(faults))
-    sys.exit(UNUSABLE if faults else 0)
+    sys.exit(EXIT_INVALID_INPUT if faults else 0)
 
 
-def _laboratory() -> None:
-    """Hang in the laboratory's commands, where its extra is installed."""
+def _add_lab_commands() -> None:
+    """Add `lab` and `demo`; without the `lab` extra, both only report the missing dependency."""
     try:
         from badgeryoke.testbed.commands import demo, lab
     except ImportError as fault:
@@ -111,7 +111,7 @@
         def lab_missing(words: tuple[str, ...], missing: str | None = fault.name) -> None:
             """Emulated fleets and scenarios (not installed)."""
             click.echo(f"badgeryoke: the laboratory needs {missing}: pip install 'badgeryoke[lab]'", err=True)
-            sys.exit(MISSING)
+            sys.exit(EXIT_NOT_INSTALLED)
 
         cli.add_command(lab_missing, "demo")
         return
@@ -120,8 +120,8 @@
 
 
 def run() -> None:
-    """The console script."""
-    _laboratory()
+    """The entry point of the console script."""
+    _add_lab_commands()
     cli(prog_name="badgeryoke")
 
 
--- a/badgeryoke/gateway/counter_state_log.py
+++ b/badgeryoke/gateway/counter_state_log.py
@@ -1,4 +1,4 @@
-"""Log lines for what the counter-health detector believes of the shared counter."""
+"""Logs the state of the shared counter as assessed by the counter-health monitor."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 log = logging.getLogger(__name__)
 
-HEALTHY_STATES = frozenset({"sound", "healed", "slow"})  # logged as information, the others as warnings
+HEALTHY_STATES = frozenset({"sound", "healed", "slow"})  # logged at level info, the others as warnings
 
 
 def log_counter_changes(engine: MonitoredEngine) -> None:
-    """Log each state that the counter has been found in since the last call."""
+    """Log each change of the counter's assessed state since the last call."""
     for change in engine.take_changes():
         level = logging.INFO if change.new.value in HEALTHY_STATES else logging.WARNING
         fields = {
--- a/badgeryoke/gateway/log_format.py
+++ b/badgeryoke/gateway/log_format.py
@@ -1,7 +1,7 @@
-"""The format of log lines: text for people, or JSON, one object a line.
+"""The format of log lines: plain text, or one JSON object per line.
 
-An event's fields are given as `extra={"fields": {...}}`.  The standard library's logging is used, and not
-structlog, which would cost each gateway 4.5 MB and 100 ms at its start (docs/measurements.md).
+The fields of an event are passed as `extra={"fields": {...}}`.  structlog is not used because it would cost each
+gateway 4.5 MB and 100 ms at startup (docs/measurements.md).
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 LogLevel = Literal["debug", "info", "warning", "error"]
 
 TEXT_FORMAT = "%(levelname)s %(name)s: %(message)s"
-TIMESTAMP_DIGITS = 3  # of a second
+TIMESTAMP_DIGITS = 3  # decimal places of the Unix time in seconds
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line: at (Unix seconds), level, logger, event, and the event's fields."""
+    """One JSON object per line: at (Unix time in seconds), level, logger, event, and the fields of the event."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """The line of a record, with the traceback of its exception, if any."""
+        """Format a record, with the traceback of its exception if it has one."""
         line: dict[str, object] = {
             "at": round(record.created, TIMESTAMP_DIGITS),
             "level": record.levelname.lower(),
@@ -39,7 +39,7 @@
 def configure_logging(
     line_format: LineFormat = "text", level: LogLevel = "info", stream: TextIO | None = None
 ) -> None:
-    """Send all log lines of the level and above to the stream, or to standard error."""
+    """Write all log lines of the level and above to `stream`, by default standard error."""
     handler = logging.StreamHandler(stream or sys.stderr)
     handler.setFormatter(JsonFormatter() if line_format == "json" else logging.Formatter(TEXT_FORMAT))
     root = logging.getLogger()
--- a/tests/gateway/test_cli.py
+++ b/tests/gateway/test_cli.py
@@ -17,7 +17,7 @@
 from badgeryoke.gateway.log_format import configure_logging
 from tests.support.paths import ROOT
 
-main._laboratory()
+main._add_lab_commands()
 
 
 def call(*words: str) -> tuple[int, str]:
--- a/tests/gateway/test_golden_cli.py
+++ b/tests/gateway/test_golden_cli.py
@@ -48,7 +48,7 @@
     monkeypatch.setenv("COLUMNS", WIDTH)
     for name in ("LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_MGMT", "LB_SOCKET_FD"):
         monkeypatch.delenv(name, raising=False)
-    main._laboratory()
+    main._add_lab_commands()
     yield
 
 
@@ -135,4 +135,4 @@
     ],
 )
 def test_a_call_that_is_none_ends_with_2(words: tuple[str, ...]) -> None:
-    assert CliRunner().invoke(main.cli, list(words)).exit_code == main.UNUSABLE == 2
+    assert CliRunner().invoke(main.cli, list(words)).exit_code == main.EXIT_INVALID_INPUT == 2
