--- a/badgeryoke/cli/main.py
+++ b/badgeryoke/cli/main.py
@@ -24,8 +24,8 @@
 
 
 EXIT_CODES_HELP = (
-    "Exit codes: 0 good, 1 a figure is bad, 2 what was given cannot be used, 3 something is not "
-    "installed, 4 could not be carried out."
+    "Exit codes: 0 success, 1 a figure is bad, 2 invalid input, 3 a dependency is not installed, "
+    "4 execution failed."
 )
 
 
@@ -44,7 +44,8 @@
 def serve() -> None:
     """Run one gateway, as `python -m badgeryoke` does.
 
-    It reads LB_CONFIG, LB_NAME, LB_LISTEN and LB_DISCOVERY, and deploy/badgeryoke.toml below this folder.
+    It reads LB_CONFIG, LB_NAME, LB_LISTEN and LB_DISCOVERY, and deploy/badgeryoke.toml in the current
+    folder.
 
     \b
     Example:
@@ -65,7 +66,7 @@
 def check(file: Path, as_json: bool) -> None:
     """Check a configuration FILE: the operators' .toml, or the platform's .json.
 
-    Every fault is told with its key; exit code 2 where there is one.
+    Prints each fault with its key; the exit code is 2 if there is any.
 
     \b
     Examples:
