--- a/tests/gateway/diameter/test_diameter.py
+++ b/tests/gateway/diameter/test_diameter.py
@@ -1,4 +1,4 @@
-"""The Diameter path on real sockets, against stand-ins that build their messages by themselves."""
+"""Tests of Diameter clients and servers on real sockets, against stand-ins that have their own codec."""
 
 from __future__ import annotations
 
@@ -23,8 +23,7 @@
 from badgeryoke.gateway.diameter.upstream_connection import DiameterUpstream
 from badgeryoke.gateway.wall_clock import WallClock
 from tests.support.dispatcher_bench import FakeLoop
-from tests.support.running import ask, until
-from tests.support.running import run_test as play
+from tests.support.running import ask, run_test, until
 from tests.support.stand_ins import (
     KEYED,
     NOW_MS,
@@ -58,41 +57,42 @@
 def with_gateway(
     test: Callable[[GatewayApplication, Any], Awaitable[None]], kind: str = "std", script: Any = None
 ) -> None:
-    """Run a test against one gateway and one server of the kind."""
+    """Run a test against one gateway and one server of a kind: `std` (RESP2) or `diameter`."""
 
     async def run() -> None:
-        async with one_gateway(script=script, kind=kind, diameter=True) as (app, node, _):
-            await test(app, node)
+        async with one_gateway(script=script, kind=kind, diameter=True) as (app, server, _):
+            await test(app, server)
 
-    play(run)
+    run_test(run)
 
 
 async def open_peer(app: GatewayApplication, host: str = "pos.example") -> Streams:
     reader, writer = await connect(app.lifecycle.diameter_address)
     writer.write(cer(host))
-    got = await read_message(reader)
-    assert (got.command, got.flags, got.result, got.avps[264]) == (257, 0, 2001, b"gw0.yoke.example")
+    cea = await read_message(reader)
+    assert (cea.command, cea.flags, cea.result, cea.avps[264]) == (257, 0, 2001, b"gw0.yoke.example")
     return reader, writer
 
 
-async def call(peer: Streams, *sent: bytes) -> list[Got]:
+async def send(peer: Streams, *sent: bytes) -> list[Got]:
     peer[1].write(b"".join(sent))
     return [await read_message(peer[0]) for _ in sent]
 
 
 def test_an_event_request_is_served_with_the_standard_avps() -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
         proxy = avp(284, avp(280, "p") + avp(33, "state"))
         debit, check = sorted(
-            await call(peer, ccr(7, hop=70, extra=proxy), ccr(8, hop=80, action=2)), key=lambda got: got.hop
+            await send(peer, ccr(7, hop=70, extra=proxy), ccr(8, hop=80, action=2)),
+            key=lambda answer: answer.hop,
         )
         assert (debit.result, debit.hop, debit.end, debit.flags) == (2001, 70, 7, 0x40)
         assert debit.avps[263] == b"pos.example;1;7" and debit.avps[284] == avps(proxy)[284]
         assert struct.unpack(">Q", avps(debit.avps[431])[417]) == (2,)
         assert avps(debit.avps[440])[442] == b"value"
         assert (check.result, check.avps[422]) == (2001, b"\0\0\0\0")
-        assert sorted((c[0], c[3].split(b",")[0]) for c in node.commands) == [
+        assert sorted((command[0], command[3].split(b",")[0]) for command in backend.commands) == [
             (b"SVC.QUERY", b"c=balance-check"),
             (b"SVC.SUBMIT", b"c=load-send"),
         ]
@@ -110,31 +110,36 @@
     check: str | None, debit: str | None, sent: list[str]
 ) -> None:
     async def test() -> None:
-        async with Backend() as node, Discovery(entry("a", node.port)) as list_:
+        async with Backend() as backend, Discovery(entry("a", backend.port)) as discovery:
             classes = tuple(
                 replace(cls, name=name)
                 for cls, name in ((SAFE, "read"), (SAFE, "list"), (KEYED, "write"), (KEYED, "pay"))
             )
-            made = config(list_.port, None, roster(entry("a", node.port)), True, classes=classes)
-            assert made.diameter is not None
+            gateway_config = config(
+                discovery.port, None, roster(entry("a", backend.port)), True, classes=classes
+            )
+            assert gateway_config.diameter is not None
             app = GatewayApplication(
-                replace(made, diameter=replace(made.diameter, check_class=check, debit_class=debit)),
+                replace(
+                    gateway_config,
+                    diameter=replace(gateway_config.diameter, check_class=check, debit_class=debit),
+                ),
                 lambda: NOW_MS,
             )
             app.start()
             await until(lambda: app.parts.discovery.ready)
             peer = await open_peer(app)
-            got = await call(peer, ccr(7), ccr(8, action=2))
-            assert [one.result for one in got] == ([2001, 2001] if sent else [5031, 5031])
-            assert sorted(c[3].decode().split(",")[0][2:] for c in node.commands) == sent
+            answers = await send(peer, ccr(7), ccr(8, action=2))
+            assert [answer.result for answer in answers] == ([2001, 2001] if sent else [5031, 5031])
+            assert sorted(command[3].decode().split(",")[0][2:] for command in backend.commands) == sent
             peer[1].close()
             app.end()
             await app.done.wait()
 
-    play(test)
+    run_test(test)
 
 
-FAULTS = [
+INVALID_REQUESTS = [
     pytest.param(ccr(9, leave_out=436), 5005, id="Requested-Action is missing"),
     pytest.param(ccr(9, leave_out=263), 5005, id="Session-Id is missing"),
     pytest.param(ccr(9, leave_out=437), 5005, id="a debit without units"),
@@ -159,15 +164,15 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "result"), FAULTS)
+@pytest.mark.parametrize(("sent", "result"), INVALID_REQUESTS)
 def test_an_invalid_request_gets_its_result_code_and_is_not_forwarded(sent: bytes, result: int) -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
-        [got] = await call(peer, sent)
+        [got] = await send(peer, sent)
         assert (got.result, bool(got.flags & 0x20)) == (result, 3000 <= result < 4000)
         assert (279 in got.avps) == (result in (5001, 5004, 5005, 5009, 5014, 5030, 5031))
-        assert not node.commands
-        [good] = await call(peer, ccr(10))  # the connection is none the worse
+        assert not backend.commands
+        [good] = await send(peer, ccr(10))  # the connection is still usable
         assert good.result == 2001
         peer[1].close()
 
@@ -175,16 +180,16 @@
 
 
 def test_a_retransmission_within_the_deduplication_window_is_forwarded_as_a_retry() -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
-        [got] = await call(peer, ccr(9, flags=0xD0, extra=event_time(NOW_MS)))
-        assert got.result == 2001 and b"r=1" in node.commands[0][3]
+        [got] = await send(peer, ccr(9, flags=0xD0, extra=event_time(NOW_MS)))
+        assert got.result == 2001 and b"r=1" in backend.commands[0][3]
         peer[1].close()
 
     with_gateway(test)
 
 
-CLOSED = [
+FRAMING_ERRORS = [
     pytest.param(b"\x02" + ccr(9)[1:], 5011, id="version 2"),
     pytest.param(struct.pack(">IIIII", 1 << 24 | 0xFFFFF0, 0xC0 << 24 | 272, 4, 9, 9), 5015, id="oversized"),
     pytest.param(struct.pack(">IIIII", 1 << 24 | 12, 0xC0 << 24 | 272, 4, 9, 9), 5015, id="too short"),
@@ -192,9 +197,9 @@
 ]
 
 
-@pytest.mark.parametrize(("sent", "result"), CLOSED)
+@pytest.mark.parametrize(("sent", "result"), FRAMING_ERRORS)
 def test_a_framing_error_closes_only_its_own_connection(sent: bytes, result: int | None) -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         other, peer = await open_peer(app), await open_peer(app)
         peer[1].write(sent)
         if result is None:
@@ -202,27 +207,27 @@
         else:
             assert (await read_message(peer[0])).result == result
         assert await peer[0].read() == b""
-        [good] = await call(other, ccr(10))
+        [good] = await send(other, ccr(10))
         assert good.result == 2001
         other[1].close()
 
     with_gateway(test)
 
 
-WRONG = [
+FAILED_EXCHANGES = [
     pytest.param(ccr(1), None, id="a request before the CER"),
-    pytest.param(message(0, 257, 0, 1, 1, avp(264, "h") + avp(258, 4)), None, id="a CEA unasked"),
+    pytest.param(message(0, 257, 0, 1, 1, avp(264, "h") + avp(258, 4)), None, id="an unsolicited CEA"),
     pytest.param(cer(app=1), 5010, id="no common application"),
-    pytest.param(cer(host="gw0.yoke.example"), 3010, id="our own name"),
+    pytest.param(cer(host="gw0.yoke.example"), 3010, id="the gateway's own Origin-Host"),
     pytest.param(message(0x80, 257, 0, 1, 1, avp(296, "example")), 5005, id="no Origin-Host"),
 ]
 
 
-@pytest.mark.parametrize(("sent", "result"), WRONG)
+@pytest.mark.parametrize(("sent", "result"), FAILED_EXCHANGES)
 def test_a_failed_capabilities_exchange_is_answered_and_the_connection_closed(
     sent: bytes, result: int | None
 ) -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         reader, writer = await connect(app.lifecycle.diameter_address)
         writer.write(sent)
         if result is not None:
@@ -232,12 +237,12 @@
     with_gateway(test)
 
 
-def test_watchdog_and_disconnection() -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+def test_watchdog_and_disconnect_requests_are_answered() -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
-        [dwa] = await call(peer, message(0x80, 280, 0, 5, 5, avp(264, "pos.example") + avp(296, "example")))
+        [dwa] = await send(peer, message(0x80, 280, 0, 5, 5, avp(264, "pos.example") + avp(296, "example")))
         assert (dwa.command, dwa.result, dwa.hop) == (280, 2001, 5)
-        [dpa] = await call(peer, message(0x80, 282, 0, 6, 6, avp(264, "pos.example") + avp(273, 0)))
+        [dpa] = await send(peer, message(0x80, 282, 0, 6, 6, avp(264, "pos.example") + avp(273, 0)))
         assert (dpa.command, dpa.result) == (282, 2001)
         assert await peer[0].read() == b""
 
@@ -245,12 +250,12 @@
 
 
 def test_on_shutdown_a_client_gets_its_answer_before_the_disconnect_peer_request() -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
         peer[1].write(ccr(9))
-        await node.books.arrived.wait()
+        await backend.books.arrived.wait()
         app.end()
-        node.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
+        backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
         assert (await read_message(peer[0])).result == 2001
         dpr = await read_message(peer[0])
         assert (dpr.command, dpr.avps[273]) == (282, b"\0\0\0\0")  # REBOOTING
@@ -261,33 +266,33 @@
 
 
 def test_a_retransmission_over_a_new_connection_joins_the_request_in_flight() -> None:
-    """The first connection breaks after the debit was sent on: one execution answers the retry too."""
+    """The first connection closes after the debit was forwarded; the retransmission gets the same answer."""
 
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         first = await open_peer(app)
         first[1].write(ccr(9))
-        await node.books.arrived.wait()
+        await backend.books.arrived.wait()
         first[1].transport.abort()
         again = await open_peer(app)
         again[1].write(ccr(9, flags=0xD0, hop=91))
-        [dwa] = await call(again, message(0x80, 280, 0, 5, 5, b""))  # the retry has been read
+        [dwa] = await send(again, message(0x80, 280, 0, 5, 5, b""))  # the gateway has read the retransmission
         assert dwa.command == 280
-        node.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
+        backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
         got = await read_message(again[0])
         assert (got.result, got.hop, avps(got.avps[440])[442]) == (2001, 91, b"last")
-        [stored] = await call(again, ccr(9, flags=0xD0, hop=92))  # and once more, after the answer
+        [stored] = await send(again, ccr(9, flags=0xD0, hop=92))  # a retransmission after the answer
         assert (stored.result, stored.hop) == (2001, 92)
-        assert len(node.commands) == 1 and node.books.units[5] == 2
+        assert len(backend.commands) == 1 and backend.books.units[5] == 2
         again[1].close()
 
     with_gateway(test, script=[None])
 
 
 def test_conflicting_identifiers_are_not_forwarded() -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
         results = [
-            (await call(peer, sent))[0].result
+            (await send(peer, sent))[0].result
             for sent in (
                 ccr(9, "pos.example;1;s"),
                 ccr(10, "pos.example;1;s"),
@@ -295,20 +300,20 @@
                 ccr(10, "pos.example;1;s", number=1),
             )
         ]
-        assert results == [2001, 5012, 5012, 2001] and len(node.commands) == 2
+        assert results == [2001, 5012, 5012, 2001] and len(backend.commands) == 2
         peer[1].close()
 
     with_gateway(test)
 
 
 def test_a_rejection_carries_retry_after_and_is_not_cached() -> None:
-    async def test(app: GatewayApplication, node: Backend) -> None:
+    async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
-        got = [(await call(peer, ccr(n, service=2, units=6)))[0] for n in range(4)]
-        assert [g.result for g in got] == [2001, 3004, 3004, 3004]
-        assert got[1].flags & 0x20 and got[1].avps[281].startswith(b"retry after ")
-        assert len(node.commands) == 1
-        [other] = await call(peer, ccr(1, units=6, customer=6))  # it never ran: it may be sent now
+        answers = [(await send(peer, ccr(n, service=2, units=6)))[0] for n in range(4)]
+        assert [answer.result for answer in answers] == [2001, 3004, 3004, 3004]
+        assert answers[1].flags & 0x20 and answers[1].avps[281].startswith(b"retry after ")
+        assert len(backend.commands) == 1
+        [other] = await send(peer, ccr(1, units=6, customer=6))  # a rejected request is not cached
         assert other.result == 2001
         peer[1].close()
 
@@ -317,23 +322,27 @@
 
 def test_a_client_that_is_not_configured_is_an_unknown_peer() -> None:
     async def test() -> None:
-        made = config(1, None, diameter=True)
-        assert made.diameter is not None
-        shut: Config = replace(made, diameter=replace(made.diameter, clients=frozenset({"known.example"})))
-        async with gateway(shut) as app:
+        gateway_config = config(1, None, diameter=True)
+        assert gateway_config.diameter is not None
+        restricted: Config = replace(
+            gateway_config, diameter=replace(gateway_config.diameter, clients=frozenset({"known.example"}))
+        )
+        async with gateway(restricted) as app:
             reader, writer = await connect(app.lifecycle.diameter_address)
             writer.write(cer())
             assert (await read_message(reader)).result == 3010
             assert await reader.read() == b""
 
-    play(test)
+    run_test(test)
 
 
 SERVER_ANSWERS = [
-    pytest.param("load-send", [3004], b"value", 2, id="TOO_BUSY never ran and goes elsewhere"),
-    pytest.param("load-send", [5012], b"value", 2, id="another failure may have run: repeated under its key"),
-    pytest.param("balance-check", [4012], b"value", 2, id="a safe one is repeated"),
-    pytest.param("load-send", [3004, 3004, 3004], "-BUSY", 3, id="busy everywhere is a refusal"),
+    pytest.param("load-send", [3004], b"value", 2, id="TOO_BUSY did not run and is retried"),
+    pytest.param(
+        "load-send", [5012], b"value", 2, id="another failure may have run and is retried with its key"
+    ),
+    pytest.param("balance-check", [4012], b"value", 2, id="an idempotent request is retried"),
+    pytest.param("load-send", [3004, 3004, 3004], "-BUSY", 3, id="TOO_BUSY for every attempt is a rejection"),
 ]
 
 
@@ -341,17 +350,17 @@
 def test_the_result_code_of_a_server_decides_the_outcome(
     cls: str, script: list[int | None], answer: Any, sent: int
 ) -> None:
-    async def test(app: GatewayApplication, node: DiameterServer) -> None:
+    async def test(app: GatewayApplication, server: DiameterServer) -> None:
         key = "5c0f6e1a2b3d4c59" if cls == "load-send" else ""
-        [got] = await ask(app, query("r", cls, key=key, body="body"))
-        assert got == answer or str(got).startswith(str(answer))
-        assert len(node.got) == sent
-        first = node.got[0]
+        [reply] = await ask(app, query("r", cls, key=key, body="body"))
+        assert reply == answer or str(reply).startswith(str(answer))
+        assert len(server.got) == sent
+        first = server.got[0]
         assert first.avps[416] == b"\0\0\0\4" and avps(first.avps[440])[442] == b"body"
         assert first.avps[436] == struct.pack(">I", 0 if key else 2)
-        # Only after a loss that may have run does the repeat carry the T flag; the Session-Id is the same.
-        assert bool(node.got[-1].flags & 0x10) == (script[0] != 3004)
-        assert {g.avps[263] for g in node.got} == {first.avps[263]}
+        # A retry has the T flag only if the first attempt may have run; the Session-Id stays the same.
+        assert bool(server.got[-1].flags & 0x10) == (script[0] != 3004)
+        assert {request.avps[263] for request in server.got} == {first.avps[263]}
 
     with_gateway(test, "diameter", script)
 
@@ -360,38 +369,38 @@
     ("action", "result"), [(0, 5012), (2, 3004)], ids=["direct debiting", "balance check"]
 )
 def test_a_request_to_a_silent_server_is_answered_by_its_deadline(action: int, result: int) -> None:
-    """A debit that may have run is failed, and so is its repeat; a check never harms, and is refused."""
+    """A debit that may have run fails, and so does its retransmission; a balance check is rejected."""
     classes = tuple(replace(cls, latency_objective_ms=1000.0, deadline_ms=1000.0) for cls in (SAFE, KEYED))
 
     async def test() -> None:
-        async with DiameterServer(script=[None] * 9) as node:
-            listed = roster(entry("a", node.port, kind="diameter"))
-            made = config(1, None, listed, diameter=True, classes=classes)
-            async with gateway(made, WallClock(time.monotonic, time.time)) as app:
+        async with DiameterServer(script=[None] * 9) as server:
+            endpoints = roster(entry("a", server.port, kind="diameter"))
+            gateway_config = config(1, None, endpoints, diameter=True, classes=classes)
+            async with gateway(gateway_config, WallClock(time.monotonic, time.time)) as app:
                 peer = await open_peer(app)
-                [got] = await call(peer, ccr(9, action=action))
-                assert got.result == result and 1 <= len(node.got) <= 3
-                assert len({g.avps[263] for g in node.got}) == 1
+                [answer] = await send(peer, ccr(9, action=action))
+                assert answer.result == result and 1 <= len(server.got) <= 3
+                assert len({request.avps[263] for request in server.got}) == 1
                 if action == 0:
-                    before = len(node.got)
-                    [again] = await call(peer, ccr(9, action=action, flags=0xD0, hop=99))
-                    assert again.result == result and len(node.got) == before
+                    attempt_count = len(server.got)
+                    [again] = await send(peer, ccr(9, action=action, flags=0xD0, hop=99))
+                    assert again.result == result and len(server.got) == attempt_count
                 peer[1].close()
 
-    play(test)
+    run_test(test)
 
 
 def test_a_silent_peer_gets_a_watchdog_request_and_is_then_closed() -> None:
-    """RFC 3539: a DWR after silence, the end of the connection after more."""
+    """RFC 3539: a DWR is sent after one silent interval, and the connection is closed after another."""
 
     class Stream:
-        sent, over = b"", False
+        sent, is_closed = b"", False
 
         def set_close_callback(self, _: object) -> None:
             pass
 
         def closed(self) -> bool:
-            return self.over
+            return self.is_closed
 
         def writing(self) -> bool:
             return False
@@ -400,71 +409,76 @@
             self.sent += data
 
         def close(self) -> None:
-            self.over = True
+            self.is_closed = True
 
     loop, stream = FakeLoop(), Stream()
-    me = PeerIdentity("gw0.yoke.example", "yoke.example", "127.0.0.1", 1)
-    peer = Peer(stream, me, ActorScheduler(loop), 30.0)  # type: ignore[arg-type]
+    identity = PeerIdentity("gw0.yoke.example", "yoke.example", "127.0.0.1", 1)
+    peer = Peer(stream, identity, ActorScheduler(loop), 30.0)  # type: ignore[arg-type]
     peer.deliver(peer._receive, cer())
     loop.run(35.0)
-    assert stream.sent.count(struct.pack(">I", 0x80 << 24 | 280)) == 1 and not stream.over
+    assert stream.sent.count(struct.pack(">I", 0x80 << 24 | 280)) == 1 and not stream.is_closed
     peer.deliver(peer._receive, message(0, 280, 0, 1, 1, avp(268, 2001)))
     loop.run(20.0)
-    assert not stream.over
+    assert not stream.is_closed
     loop.run(100.0)
-    assert stream.over
+    assert stream.is_closed
 
 
 def test_a_draining_server_is_disconnected_once_it_has_answered() -> None:
     async def test() -> None:
-        async with one_gateway(kind="diameter", diameter=True) as (app, node, list_):
+        async with one_gateway(kind="diameter", diameter=True) as (app, server, discovery):
             assert await ask(app, query()) == [b"value"]
-            while len(list_.calls) < 2:
+            while len(discovery.calls) < 2:
                 await asyncio.sleep(0)
-            list_.change(entry("a", node.port, "leaving", "diameter"))
-            await node.parted.wait()
+            discovery.change(entry("a", server.port, "leaving", "diameter"))
+            await server.parted.wait()
             assert str((await ask(app, query()))[0]).startswith("-BUSY")
 
-    play(test)
+    run_test(test)
 
 
 def test_a_written_request_may_have_run_when_the_connection_is_lost() -> None:
-    async def test(app: GatewayApplication, node: DiameterServer) -> None:
+    async def test(app: GatewayApplication, server: DiameterServer) -> None:
         reader, writer = await connect(app.lifecycle.address)
         writer.write(query("r", "load-send", key="5c0f6e1a2b3d4c59"))
-        await node.books.arrived.wait()
-        node.drop()
-        assert await read_reply(reader) == b"value"  # connected anew, repeated under its key
-        assert [bool(got.flags & 0x10) for got in node.got] == [False, True]
-        assert node.books.dropped == 1
+        await server.books.arrived.wait()
+        server.drop()
+        # Retried over a new connection, with the same idempotency key.
+        assert await read_reply(reader) == b"value"
+        assert [bool(got.flags & 0x10) for got in server.got] == [False, True]
+        assert server.books.dropped == 1
         writer.close()
 
     with_gateway(test, "diameter", [None])
 
 
-def test_a_mixed_run_counts_and_drops_what_a_resp2_run_does() -> None:
-    """The same queries through two gateways: by RESP2 alone, then half by Diameter and to both kinds.
+def test_a_mixed_run_counts_and_deduplicates_as_a_resp2_run_does() -> None:
+    """Sends the same queries through two gateways, first over RESP2 only, then half of them over Diameter.
 
-    Each third debit is repeated through the other gateway, as a client does that lost its first answer.
+    The second run has a RESP2 and a Diameter server. Every third debit is repeated at the other gateway, as by a
+    client that lost the first answer.
     """
     queries = [(n, n % 3, 1 + n % 6, 0 if n % 2 else 2) for n in range(36)]  # number, customer, units, action
 
     async def run(mixed: bool) -> tuple[dict[int, int], int, float, list[bool]]:
         books = Books()
-        other: Backend | DiameterServer = DiameterServer(books) if mixed else Backend(books)
-        async with Backend(books) as node, other, Counter() as counter:
-            listed = [entry("a", node.port), entry("b", other.port, kind="diameter" if mixed else "std")]
-            async with Discovery(*listed) as list_:
-                known = roster(*listed)
+        other_server: Backend | DiameterServer = DiameterServer(books) if mixed else Backend(books)
+        async with Backend(books) as backend, other_server, Counter() as counter:
+            entries = [
+                entry("a", backend.port),
+                entry("b", other_server.port, kind="diameter" if mixed else "std"),
+            ]
+            async with Discovery(*entries) as discovery:
+                endpoints = roster(*entries)
                 async with (
-                    gateway(config(list_.port, counter.port, known, mixed)) as one,
-                    gateway(config(list_.port, counter.port, known, mixed, me=1)) as two,
+                    gateway(config(discovery.port, counter.port, endpoints, mixed)) as first_gateway,
+                    gateway(config(discovery.port, counter.port, endpoints, mixed, me=1)) as second_gateway,
                 ):
-                    apps = [one, two]
+                    apps = [first_gateway, second_gateway]
                     served = []
                     for n, customer, units, action in queries:
-                        for turn in range(2 if action == 0 and n % 3 == 0 else 1):
-                            app = apps[(n // 2 + turn) % 2]
+                        for repetition in range(2 if action == 0 and n % 3 == 0 else 1):
+                            app = apps[(n // 2 + repetition) % 2]
                             if mixed and n % 4 < 2:
                                 reader, writer = await connect(app.lifecycle.diameter_address)
                                 writer.write(
@@ -475,7 +489,7 @@
                                         units=units,
                                         customer=customer,
                                         service=2,
-                                        flags=0xD0 if turn else 0xC0,
+                                        flags=0xD0 if repetition else 0xC0,
                                         extra=event_time(NOW_MS),
                                     )
                                 )
@@ -486,7 +500,7 @@
                                 [answer] = await ask(
                                     app,
                                     query(
-                                        f"{n}-{turn}",
+                                        f"{n}-{repetition}",
                                         "balance-check" if action else "load-send",
                                         units,
                                         customer,
@@ -498,19 +512,19 @@
                     return dict(books.units), books.dropped, counter.units, served
 
     async def test() -> None:
-        plain, mixed = await run(False), await run(True)
-        assert plain == mixed
-        units, dropped, counted, served = plain
+        resp2_run, mixed_run = await run(False), await run(True)
+        assert resp2_run == mixed_run
+        units, dropped, counted, served = resp2_run
         assert dropped > 0 and not all(served) and any(served)
         assert all(0 < used <= 12 for used in units.values()) and counted >= sum(units.values())
 
-    play(test)
+    run_test(test)
 
 
 def test_all_but_the_last_of_a_partly_written_batch_may_have_run() -> None:
-    """A break counted as proof that none of them ran: those written whole were sent again elsewhere."""
+    """If all attempts counted as not run, completely written requests would be sent again to another server."""
 
-    class Stuck:
+    class BlockedStream:
         error = None
 
         def set_close_callback(self, _: object) -> None: ...
@@ -522,25 +536,32 @@
             return False
 
     loop = ActorScheduler(FakeLoop())
-    me = PeerIdentity("gw0.yoke.example", "yoke.example", "127.0.0.1", 1)
+    identity = PeerIdentity("gw0.yoke.example", "yoke.example", "127.0.0.1", 1)
     owner = DiameterUpstream(
         ("127.0.0.1", 1),
         loop,
         lambda: 0.0,
-        identity=me,
+        identity=identity,
         services={},
         connect_ms=100.0,
         idle_ms=100.0,
         watchdog_s=30.0,
     )
-    connection = upstream_connection.UpstreamPeer(cast(IOStream, Stuck()), owner, loop, 30.0)
+    connection = upstream_connection.UpstreamPeer(cast(IOStream, BlockedStream()), owner, loop, 30.0)
     connection.state = PeerState.OPEN
     ends: dict[str, Verdict] = {}
     for name in ("first", "second", "last"):
-        asked = Request(name, "load-send", "small", 5, 1000.0, 1.0, 1, idempotency_key=name)
+        request = Request(name, "load-send", "small", 5, 1000.0, 1.0, 1, idempotency_key=name)
         connection.post(
             connection.write,
-            Attempt(asked, 0, 1, 0.0, 1000.0, lambda one, end: ends.update({one.request.id: end.verdict})),
+            Attempt(
+                request,
+                0,
+                1,
+                0.0,
+                1000.0,
+                lambda attempt, end: ends.update({attempt.request.id: end.verdict}),
+            ),
         )
     loop.run()
     connection.connection_closed()
@@ -552,12 +573,12 @@
 ) -> None:
     monkeypatch.setattr(client_connection, "MAX_REQUESTS_IN_FLIGHT", 1)
 
-    async def test(app: GatewayApplication, node: DiameterServer) -> None:
+    async def test(app: GatewayApplication, server: DiameterServer) -> None:
         peer = await open_peer(app)
         peer[1].write(ccr(1) + ccr(2))
         got = await read_message(peer[0])
         assert (got.end, got.result, got.avps[281]) == (2, 3004, b"retry after 1000 ms")
-        await node.books.arrived.wait()
+        await server.books.arrived.wait()
         peer[1].close()
 
     with_gateway(test, "diameter", [None])
--- a/tests/gateway/diameter/test_golden_diameter.py
+++ b/tests/gateway/diameter/test_golden_diameter.py
@@ -1,4 +1,4 @@
-"""Diameter bytes: the messages of both sides for fixed inputs."""
+"""Golden bytes of the Diameter messages that the gateway sends to clients and servers for fixed inputs."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from badgeryoke.gateway.diameter.codec import Avp, Message
 from badgeryoke.gateway.diameter.dictionary import AvpCode, CommandCode
 from badgeryoke.gateway.diameter.peer import Peer, PeerIdentity
-from tests.gateway.diameter.test_diameter import CLOSED, FAULTS
+from tests.gateway.diameter.test_diameter import FRAMING_ERRORS, INVALID_REQUESTS
 from tests.support.canonical import canonical
 from tests.support.dispatcher_bench import FakeLoop
 from tests.support.golden_files import assert_golden, hex_lines, text_lines
-from tests.support.running import run_test as play
+from tests.support.running import run_test
 from tests.support.stand_ins import NOW_MS, avp, avps, ccr, cer, connect, event_time, message, one_gateway
 
 REQUESTS, ANSWERS = "diameter-ccr.txt", "diameter-answers.txt"
 PEER, SETTLED = "diameter-peer.txt", "diameter-settled.txt"
-ME = PeerIdentity("gw0.yoke.example", "yoke.example", "127.0.0.1", 1_790_000_000)
+IDENTITY = PeerIdentity("gw0.yoke.example", "yoke.example", "127.0.0.1", 1_790_000_000)
 WATCHDOG_S = 30.0
-FIRST_ID = 1000  # of the connection's requests; by chance where it is not set
-HEADER = 20
+FIRST_ID = 1000  # the identifier before a connection's first request; random unless a test sets it
+HEADER_BYTES = 20
 
-# What a server is asked -------------------------------------------------------------------------------
+# Requests to a server ---------------------------------------------------------------------------------
 
 CCRS: tuple[tuple[str, Request, bool, int | None, bool], ...] = (
     ("check", Request("r1", "read", "plain", 5, 900.0, 1.0, 2), True, 2, False),
@@ -59,10 +59,15 @@
 
 
 def requests() -> list[tuple[str, bytes]]:
-    """The CCR of each query."""
+    """Each request of CCRS, encoded."""
     return [
-        (name, upstream_request.encode_request(asked, ME, safe, service, FIRST_ID + place, repeat))
-        for place, (name, asked, safe, service, repeat) in enumerate(CCRS)
+        (
+            name,
+            upstream_request.encode_request(
+                request, IDENTITY, idempotent, service, FIRST_ID + index, retransmitted
+            ),
+        )
+        for index, (name, request, idempotent, service, retransmitted) in enumerate(CCRS)
     ]
 
 
@@ -72,20 +77,20 @@
 
 def test_a_golden_request_decodes_to_its_avps() -> None:
     for _, data in requests():
-        [read] = codec.Framer().feed(data)
-        assert read.encode() == data and read.command_code == CommandCode.CREDIT_CONTROL
+        [decoded] = codec.Framer().feed(data)
+        assert decoded.encode() == data and decoded.command_code == CommandCode.CREDIT_CONTROL
 
 
-# How a server's answer is read ------------------------------------------------------------------------
+# Answers of a server ----------------------------------------------------------------------------------
 
 
 def answer_of(result: int, *more: Avp) -> list[Avp]:
-    """An answer's AVPs."""
+    """The AVPs of an answer."""
     return [codec.unsigned32_avp(AvpCode.RESULT_CODE, result), *more]
 
 
 GRANTED = codec.units_avp(AvpCode.GRANTED_SERVICE_UNIT, 3)
-REPLIES: tuple[tuple[str, list[Avp]], ...] = (
+SERVER_ANSWERS: tuple[tuple[str, list[Avp]], ...] = (
     ("success", answer_of(2001, GRANTED, codec.value_avp(b"value"))),
     ("success alone", answer_of(2001)),
     ("limited success", answer_of(2002, GRANTED)),
@@ -99,27 +104,27 @@
 )
 
 
-def settled() -> list[str]:
-    """How attempts end by the answers."""
+def attempt_ends() -> list[str]:
+    """How an attempt ends with each answer, and what is reported as malformed."""
     lines = []
-    for name, reply in REPLIES:
+    for name, reply in SERVER_ANSWERS:
         ends: list[AttemptEnd] = []
-        execution = Attempt(CCRS[0][1], 0, 1, NOW_MS, NOW_MS + 900.0, lambda _, end: ends.append(end))  # noqa: B023
-        execution.written()
-        complaint = upstream_request.end_attempt(execution, reply)
-        lines.append(f"{name}: {canonical((ends, complaint))}")
+        attempt = Attempt(CCRS[0][1], 0, 1, NOW_MS, NOW_MS + 900.0, lambda _, end: ends.append(end))  # noqa: B023
+        attempt.written()
+        malformed = upstream_request.end_attempt(attempt, reply)
+        lines.append(f"{name}: {canonical((ends, malformed))}")
     return lines
 
 
 def test_each_answer_ends_its_attempt_as_the_golden_file_says() -> None:
-    assert_golden(SETTLED, text_lines(settled()))
+    assert_golden(SETTLED, text_lines(attempt_ends()))
 
 
 # The base protocol on one connection ------------------------------------------------------------------
 
 
 class Stream:
-    """Keeps what is written."""
+    """A stream that records the data written to it."""
 
     error = None
 
@@ -142,14 +147,14 @@
         return self.ended
 
 
-class OpeningPeer(Peer):
-    """The side that sends the CER."""
+class ConnectingPeer(Peer):
+    """A peer that opened its connection and sends the CER."""
 
     expects_cer = False
 
 
-def received(peer: Peer, stream: Stream, data: bytes = b"") -> bytes:
-    """What a connection writes when it has taken something in."""
+def written_after(peer: Peer, stream: Stream, data: bytes = b"") -> bytes:
+    """What a connection writes after it has received data."""
     stream.written.clear()
     if data:
         peer.deliver(peer._receive, data)
@@ -161,64 +166,64 @@
 CEA = message(0, 257, 0, FIRST_ID + 1, FIRST_ID + 1, avp(268, 2001) + BASE + avp(258, 4))
 
 
-def opened_side() -> list[tuple[str, bytes]]:
-    """What is written on a connection that the other side opened."""
+def accepting_side() -> list[tuple[str, bytes]]:
+    """What the gateway writes on a connection that the peer opened."""
     loop, stream = FakeLoop(), Stream()
-    peer = Peer(cast(IOStream, stream), ME, ActorScheduler(loop), WATCHDOG_S)
+    peer = Peer(cast(IOStream, stream), IDENTITY, ActorScheduler(loop), WATCHDOG_S)
     peer._next_id = FIRST_ID
     written = [
-        ("CEA", received(peer, stream, cer())),
-        ("second CER", received(peer, stream, cer(hop=2))),
-        ("DWA", received(peer, stream, message(0x80, 280, 0, 3, 4, BASE))),
+        ("CEA", written_after(peer, stream, cer())),
+        ("second CER", written_after(peer, stream, cer(hop=2))),
+        ("DWA", written_after(peer, stream, message(0x80, 280, 0, 3, 4, BASE))),
     ]
     stream.written.clear()
     loop.run(WATCHDOG_S * 1.2)
     written.append(("DWR", b"".join(stream.written)))
     peer.deliver(peer._receive, message(0, 280, 0, FIRST_ID + 1, FIRST_ID + 1, avp(268, 2001) + BASE))
     written += [
-        ("unknown command", received(peer, stream, message(0x80, 271, 0, 5, 6, BASE))),
-        ("E bit", received(peer, stream, message(0xA0, 280, 0, 7, 8, BASE))),
-        ("AVP cut", received(peer, stream, message(0x80, 280, 0, 9, 9, BASE + AVP_TOO_LONG))),
-        ("application", received(peer, stream, message(0xC0, 272, 5, 9, 9, BASE))),
-        ("DPA", received(peer, stream, message(0x80, 282, 0, 9, 10, BASE + avp(273, 0)))),
+        ("unknown command", written_after(peer, stream, message(0x80, 271, 0, 5, 6, BASE))),
+        ("E bit", written_after(peer, stream, message(0xA0, 280, 0, 7, 8, BASE))),
+        ("AVP cut", written_after(peer, stream, message(0x80, 280, 0, 9, 9, BASE + AVP_TOO_LONG))),
+        ("application", written_after(peer, stream, message(0xC0, 272, 5, 9, 9, BASE))),
+        ("DPA", written_after(peer, stream, message(0x80, 282, 0, 9, 10, BASE + avp(273, 0)))),
     ]
     return written
 
 
-def opening_side() -> list[tuple[str, bytes]]:
-    """What is written on a connection that this side opened."""
+def connecting_side() -> list[tuple[str, bytes]]:
+    """What the gateway writes on a connection that it opened."""
     loop, stream = FakeLoop(), Stream()
-    peer = OpeningPeer(cast(IOStream, stream), ME, ActorScheduler(loop), WATCHDOG_S)
+    peer = ConnectingPeer(cast(IOStream, stream), IDENTITY, ActorScheduler(loop), WATCHDOG_S)
     peer._next_id = FIRST_ID
     peer.deliver(peer.send_request, CommandCode.CAPABILITIES_EXCHANGE, peer.capabilities_avps())
-    written = [("CER", b"".join(stream.written)), ("after CEA", received(peer, stream, CEA))]
+    written = [("CER", b"".join(stream.written)), ("after CEA", written_after(peer, stream, CEA))]
     stream.written.clear()
     peer.deliver(peer.disconnect, codec.DO_NOT_WANT_TO_TALK_TO_YOU)
     return [*written, ("DPR", b"".join(stream.written))]
 
 
-def refused_exchanges() -> list[tuple[str, bytes]]:
-    """What a CER gets that does not lead to an open connection."""
+def first_messages() -> list[tuple[str, bytes]]:
+    """The answers to first messages; only `relay` opens the connection."""
     cases = (
         ("no credit control", cer(app=1)),
         ("relay", cer(app=0xFFFFFFFF)),
-        ("own host", cer(ME.host)),
+        ("own host", cer(IDENTITY.host)),
         ("no host", message(0x80, 257, 0, 1, 1, avp(296, "example") + avp(258, 4))),
         ("other command first", message(0x80, 280, 0, 1, 1, BASE)),
     )
-    found = []
+    written = []
     for name, data in cases:
         stream = Stream()
-        peer = Peer(cast(IOStream, stream), ME, ActorScheduler(FakeLoop()), WATCHDOG_S)
-        found.append((name, received(peer, stream, data)))
-    return found
+        peer = Peer(cast(IOStream, stream), IDENTITY, ActorScheduler(FakeLoop()), WATCHDOG_S)
+        written.append((name, written_after(peer, stream, data)))
+    return written
 
 
 def test_the_base_protocol_matches_the_golden_bytes() -> None:
-    assert_golden(PEER, hex_lines([*opened_side(), *opening_side(), *refused_exchanges()]))
+    assert_golden(PEER, hex_lines([*accepting_side(), *connecting_side(), *first_messages()]))
 
 
-# What a client is answered ----------------------------------------------------------------------------
+# Answers to a client ----------------------------------------------------------------------------------
 
 GOOD: tuple[tuple[str, bytes], ...] = (
     ("debit", ccr(7, hop=70)),
@@ -231,44 +236,46 @@
 )
 
 
-async def whole_message(reader: asyncio.StreamReader) -> bytes:
-    """The bytes of one message."""
-    head = await reader.readexactly(HEADER)
+async def read_whole_message(reader: asyncio.StreamReader) -> bytes:
+    """Read the bytes of one message."""
+    head = await reader.readexactly(HEADER_BYTES)
     length = struct.unpack(">I", head[:4])[0] & 0xFFFFFF
-    return head + await reader.readexactly(length - HEADER)
+    return head + await reader.readexactly(length - HEADER_BYTES)
 
 
-def without_start(exchange: bytes) -> bytes:
-    """A capabilities answer with 0 for its Origin-State-Id, which is the time of the process's start."""
-    started = avps(exchange[HEADER:])[AvpCode.ORIGIN_STATE_ID]
-    return exchange.replace(avp(AvpCode.ORIGIN_STATE_ID, started), avp(AvpCode.ORIGIN_STATE_ID, b"\0" * 4))
+def without_origin_state_id(cea: bytes) -> bytes:
+    """Set the Origin-State-Id of a CEA to 0; it is the time when the process started."""
+    started = avps(cea[HEADER_BYTES:])[AvpCode.ORIGIN_STATE_ID]
+    return cea.replace(avp(AvpCode.ORIGIN_STATE_ID, started), avp(AvpCode.ORIGIN_STATE_ID, b"\0" * 4))
 
 
 def answers() -> list[tuple[str, bytes]]:
-    """What each request gets from a gateway before a RESP2 server."""
-    found: list[tuple[str, bytes]] = []
-    faulty = [(str(case.id), cast(bytes, case.values[0])) for case in FAULTS]
-    cut_off = [(str(case.id), cast(bytes, case.values[0])) for case in CLOSED if case.values[1] is not None]
+    """The answer to each request from a gateway that has a RESP2 server."""
+    recorded: list[tuple[str, bytes]] = []
+    faulty = [(str(case.id), cast(bytes, case.values[0])) for case in INVALID_REQUESTS]
+    cut_off = [
+        (str(case.id), cast(bytes, case.values[0])) for case in FRAMING_ERRORS if case.values[1] is not None
+    ]
 
     async def record() -> None:
         async with one_gateway(diameter=True) as (app, _, _):
             reader, writer = await connect(app.lifecycle.diameter_address)
             writer.write(cer())
-            found.append(("CEA", without_start(await whole_message(reader))))
+            recorded.append(("CEA", without_origin_state_id(await read_whole_message(reader))))
             for name, request in (*GOOD, *faulty):
                 writer.write(request)
-                found.append((name, await whole_message(reader)))
+                recorded.append((name, await read_whole_message(reader)))
             writer.close()
             for name, request in cut_off:
                 reader, writer = await connect(app.lifecycle.diameter_address)
                 writer.write(cer())
-                await whole_message(reader)
+                await read_whole_message(reader)
                 writer.write(request)
-                found.append((f"{name}, to the connection's end", await reader.read()))
+                recorded.append((f"{name}, to the connection's end", await reader.read()))
                 writer.close()
 
-    play(record)
-    return found
+    run_test(record)
+    return recorded
 
 
 def test_each_request_of_a_client_gets_its_golden_answer() -> None:
@@ -276,8 +283,8 @@
 
 
 def test_messages_are_encoded_as_the_standard_specifies() -> None:
-    """The codec against the independent one of the stand-ins."""
-    made = Message(
+    """Compares the codec with the independent one of the stand-ins."""
+    watchdog_request = Message(
         codec.FLAG_REQUEST,
         CommandCode.DEVICE_WATCHDOG,
         0,
@@ -290,4 +297,4 @@
             ]
         ),
     )
-    assert made.encode() == message(0x80, 280, 0, 3, 4, BASE)
+    assert watchdog_request.encode() == message(0x80, 280, 0, 3, 4, BASE)
--- a/tests/gateway/test_cli.py
+++ b/tests/gateway/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line and the operators' file: what is refused, by which key, with which exit code."""
+"""The command line and the operators' file: which input is rejected, with which message and exit code."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 main._add_lab_commands()
 
 
-def call(*words: str) -> tuple[int, str]:
-    got = CliRunner().invoke(main.cli, list(words))
-    return got.exit_code, got.output
+def run_command(*arguments: str) -> tuple[int, str]:
+    """Run a command; return its exit code and output."""
+    result = CliRunner().invoke(main.cli, list(arguments))
+    return result.exit_code, result.output
 
 
 @pytest.mark.parametrize(
@@ -40,65 +41,67 @@
         ("[log\n", ["badgeryoke.toml: "]),
     ],
 )
-def test_every_fault_of_the_file_is_told_by_its_key(tmp_path: Path, text: str, faults: list[str]) -> None:
+def test_check_reports_every_fault_of_the_file_with_its_key(
+    tmp_path: Path, text: str, faults: list[str]
+) -> None:
     path = tmp_path / "badgeryoke.toml"
     path.write_text(text)
-    code, output = call("check", str(path), "--json")
-    told = json.loads(output)["faults"]
-    assert code == (2 if faults else 0) and len(told) == len(faults)
-    assert all(part in line for part, line in zip(faults, told, strict=True))
+    code, output = run_command("check", str(path), "--json")
+    reported = json.loads(output)["faults"]
+    assert code == (2 if faults else 0) and len(reported) == len(faults)
+    assert all(part in line for part, line in zip(faults, reported, strict=True))
     if faults:
         with pytest.raises(OperatorsError):
             read_operators(path)
 
 
 def test_without_the_file_everything_is_off(tmp_path: Path) -> None:
-    made = read_operators(tmp_path / "badgeryoke.toml")
-    assert made == Operators() == read_operators(ROOT / "deploy" / "badgeryoke.toml")
-    assert not made.counter_watch.enabled
+    operators = read_operators(tmp_path / "badgeryoke.toml")
+    assert operators == Operators() == read_operators(ROOT / "deploy" / "badgeryoke.toml")
+    assert not operators.counter_watch.enabled
 
 
-def test_the_platforms_json_is_checked_too(tmp_path: Path) -> None:
+def test_check_validates_the_platforms_json_file(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text('{"settings": {}}')
-    code, output = call("check", str(path))
+    code, output = run_command("check", str(path))
     assert code == 2 and "policy_limits: missing" in output
-    assert call("check", str(tmp_path / "none.toml"))[0] == 2
+    assert run_command("check", str(tmp_path / "none.toml"))[0] == 2
 
 
 @pytest.mark.parametrize(
-    "words",
+    "command",
     ["", "serve", "check", "demo", "lab", "lab list", "lab run", "lab sim", "lab compare", "lab report"],
 )
-def test_every_command_has_an_example(words: str) -> None:
-    code, output = call(*words.split(), "--help")
+def test_every_command_has_an_example(command: str) -> None:
+    code, output = run_command(*command.split(), "--help")
     assert code == 0 and "Example" in output and "badgeryoke " in output
 
 
-def test_an_unknown_scenario_and_a_faulty_one_end_with_2(tmp_path: Path) -> None:
-    assert call("lab", "sim", "no-such")[0] == 2
+def test_an_unknown_scenario_and_a_faulty_one_exit_with_2(tmp_path: Path) -> None:
+    assert run_command("lab", "sim", "no-such")[0] == 2
     path = tmp_path / "bad.scm"
     path.write_text("(scenario x\n  (gateways three))")
-    code, output = call("lab", "sim", str(path))
+    code, output = run_command("lab", "sim", str(path))
     assert code == 2 and "line 2, column 13" in output and "three" in output
 
 
-def test_the_list_names_what_is_shipped() -> None:
-    code, output = call("lab", "list", "--json")
+def test_lab_list_names_the_shipped_scenarios() -> None:
+    code, output = run_command("lab", "list", "--json")
     assert code == 0 and {"counter-dead", "counter-split", "counter-swap"} <= {
         row["name"] for row in json.loads(output)
     }
 
 
-def test_a_bad_figure_ends_with_1_and_a_good_one_with_0() -> None:
-    """A split that nobody watches for passes the stated error; the same under the watch does not."""
-    code, output = call("lab", "sim", "counter-split", "--no-watch", "--json", "--jobs", "1")
+def test_a_bad_figure_exits_with_1_and_a_good_one_with_0() -> None:
+    """A split counter exceeds the stated error without counter-health monitoring, but not with it."""
+    code, output = run_command("lab", "sim", "counter-split", "--no-watch", "--json", "--jobs", "1")
     assert code == 1 and json.loads(output)["spread"]["beyond_share"]["worst"] > 0.3
-    code, output = call("lab", "sim", "counter-split", "--json", "--jobs", "1")
+    code, output = run_command("lab", "sim", "counter-split", "--json", "--jobs", "1")
     assert code == 0 and json.loads(output)["spread"]["beyond_share"]["worst"] < 0.05
 
 
-def test_a_log_line_as_json_carries_its_fields() -> None:
+def test_a_json_log_line_contains_the_fields_of_its_event() -> None:
     stream, root = StringIO(), logging.getLogger()
     before = root.handlers[:], root.level
     try:
@@ -113,15 +116,15 @@
     assert line["event"] == "counter believed split" and line["hidden"] == [1] and line["level"] == "warning"
 
 
-def test_a_gateway_that_is_told_nothing_new_loads_nothing_new() -> None:
-    """Read in a process of its own: the lean gateway imports no command line, no laboratory and no watch."""
+def test_a_gateway_without_optional_features_loads_none_of_their_modules() -> None:
+    """A separate process shows that it imports neither the command line, the testbed nor counter health."""
     script = (
         "import sys, badgeryoke.__main__; "
         "print([m for m in sys.modules if m.split('.')[0] in "
         "('click', 'lark', 'rich', 'jinja2', 'structlog') "
         "or 'counter_health' in m or m.startswith(('badgeryoke.testbed', 'badgeryoke.cli'))])"
     )
-    said = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert said.stdout.strip() == "[]"
+    assert completed.stdout.strip() == "[]"
--- a/tests/gateway/test_golden_admin.py
+++ b/tests/gateway/test_golden_admin.py
@@ -1,4 +1,4 @@
-"""The second address: its figures, its answers, and the words of each state."""
+"""The admin server: golden metrics, golden answers to each call, and the names of the shutdown states."""
 
 from __future__ import annotations
 
@@ -11,8 +11,7 @@
 from badgeryoke.gateway.graceful_shutdown import ShutdownState
 from badgeryoke.gateway.metrics import Metrics, RequestResult
 from tests.support.golden_files import assert_golden, golden, text_lines
-from tests.support.running import ask, until
-from tests.support.running import run_test as play
+from tests.support.running import ask, run_test, until
 from tests.support.stand_ins import (
     HOST,
     Backend,
@@ -29,41 +28,41 @@
 METRICS, CALLS, ANSWERS = "metrics.txt", "management-calls.txt", "management-answers.txt"
 
 
-def figures() -> str:
-    """All figures of a fixed state, also of a class whose name has to be escaped."""
-    made = Metrics(["read", "write"])
-    made.add_classes(['odd "name"\\', "two\nlines\r", "read"])
-    made.finished["read"][RequestResult.COMPLETED] = 11
-    made.finished["read"][RequestResult.REJECTED] = 12
-    made.finished["write"][RequestResult.FAILED] = 13
-    made.finished['odd "name"\\'][RequestResult.REJECTED] = 14
+def metrics_text() -> str:
+    """All metrics of a fixed state, with request classes whose names must be escaped."""
+    metrics = Metrics(["read", "write"])
+    metrics.add_classes(['odd "name"\\', "two\nlines\r", "read"])
+    metrics.finished["read"][RequestResult.COMPLETED] = 11
+    metrics.finished["read"][RequestResult.REJECTED] = 12
+    metrics.finished["write"][RequestResult.FAILED] = 13
+    metrics.finished['odd "name"\\'][RequestResult.REJECTED] = 14
     for _ in range(15):
-        made.attempt_sent()
-    made.reloads, made.reload_errors = 16, 17
-    return render_metrics(made, Gauges(pending=18, members=19, members_unavailable=20))
+        metrics.attempt_sent()
+    metrics.reloads, metrics.reload_errors = 16, 17
+    return render_metrics(metrics, Gauges(pending=18, members=19, members_unavailable=20))
 
 
-def test_the_figures_are_the_golden_ones() -> None:
-    assert_golden(METRICS, figures().encode())
+def test_the_rendered_metrics_match_the_golden_file() -> None:
+    assert_golden(METRICS, metrics_text().encode())
 
 
-# Each call, by itself ---------------------------------------------------------------------------------
+# Calls without a socket -------------------------------------------------------------------------------
 
 
-class Operated:
-    """A gateway that says what it was made to say."""
+class StubOperations:
+    """A gateway that answers each operation with fixed values."""
 
-    def __init__(self, good: bool, why_not: str) -> None:
-        self._good, self._why_not = good, why_not
+    def __init__(self, can_serve: bool, error: str) -> None:
+        self._can_serve, self._error = can_serve, error
 
     def status(self) -> tuple[bool, str]:
-        return self._good, "the state"
+        return self._can_serve, "the state"
 
     def pause(self) -> str:
-        return self._why_not
+        return self._error
 
     def resume(self) -> str:
-        return self._why_not
+        return self._error
 
     def metrics(self) -> str:
         return "lb_pending 1\n"
@@ -90,16 +89,19 @@
 
 
 def answers() -> list[str]:
-    """What each line gets from a gateway that can, and from one that cannot."""
+    """The answers to each line from a gateway that can carry out the call, and from one that cannot."""
     return [
-        f"{kind} {line!r}: {answer_call(operated, line)!r}"
-        for kind, operated in (("good", Operated(True, "")), ("bad", Operated(False, "why not")))
+        f"{label} {line!r}: {answer_call(operations, line)!r}"
+        for label, operations in (
+            ("good", StubOperations(True, "")),
+            ("bad", StubOperations(False, "why not")),
+        )
         for line in LINES
     ]
 
 
 def states() -> list[str]:
-    """The words for the states of the drain, as STATUS gives them."""
+    """The names of the shutdown states, as STATUS reports them."""
     return [f"state {state.value}" for state in ShutdownState]
 
 
@@ -107,11 +109,11 @@
     assert_golden(ANSWERS, text_lines([*answers(), *states()]))
 
 
-# On sockets -------------------------------------------------------------------------------------------
+# Calls on sockets -------------------------------------------------------------------------------------
 
 
-async def called(app: GatewayApplication, line: bytes) -> bytes:
-    """All of an answer, to the connection's end."""
+async def send_call(app: GatewayApplication, line: bytes) -> bytes:
+    """Send a call and read its answer until the connection closes."""
     reader, writer = await connect(app.lifecycle.admin_address)
     writer.write(line)
     answer = await reader.read()
@@ -119,29 +121,29 @@
     return answer
 
 
-def conversation() -> list[str]:
-    """The operators' calls to a gateway that serves, is paused and comes back."""
+def recorded_calls() -> list[str]:
+    """The answers to calls while a gateway serves, is paused and resumes."""
     lines: list[str] = []
 
     async def record() -> None:
-        async with Backend() as node, Discovery(entry("a", node.port)) as list_:
-            made = config(list_.port, None, roster(entry("a", node.port)))
-            async with gateway(replace(made, mgmt=(HOST, 0))) as app:
+        async with Backend() as backend, Discovery(entry("a", backend.port)) as discovery:
+            gateway_config = config(discovery.port, None, roster(entry("a", backend.port)))
+            async with gateway(replace(gateway_config, mgmt=(HOST, 0))) as app:
 
-                async def call(line: bytes) -> None:
-                    lines.append(f"{line[:40]!r}: {await called(app, line)!r}")
+                async def record_call(line: bytes) -> None:
+                    lines.append(f"{line[:40]!r}: {await send_call(app, line)!r}")
 
                 for line in (b"STATUS\n", b"METRICS\n"):
-                    await call(line)
+                    await record_call(line)
                 for number in range(3):
                     await ask(app, query(f"r{number}"))
                 await ask(app, query("w", "load-send", key="1" * 16))
-                await call(b"METRICS\n")
-                await call(b"PAUSE\n")
+                await record_call(b"METRICS\n")
+                await record_call(b"PAUSE\n")
                 await until(lambda: app.lifecycle.shutdown.state is ShutdownState.PAUSED)
-                await call(b"STATUS\n")
+                await record_call(b"STATUS\n")
                 lines.append(f"client, paused: {await ask(app, resp('PING'))!r}")
-                await call(b"RESUME\n")
+                await record_call(b"RESUME\n")
                 for line in (
                     b"STATUS\n",
                     b"FLEET\n",
@@ -153,17 +155,17 @@
                     b"FLEET " + b"x" * 300 + b"\n",
                     b"FLEET " + b"x" * MAX_FLEET_LINE_BYTES + b"\n",
                 ):
-                    await call(line)
+                    await record_call(line)
                 lines.append(f"client, resumed: {await ask(app, resp('PING'))!r}")
 
-    play(record)
+    run_test(record)
     return lines
 
 
-def test_the_operators_calls_get_the_golden_answers() -> None:
-    assert_golden(CALLS, text_lines(conversation()))
+def test_calls_on_sockets_get_the_golden_answers() -> None:
+    assert_golden(CALLS, text_lines(recorded_calls()))
 
 
-def test_every_figure_that_is_rendered_is_in_the_golden_conversation() -> None:
+def test_every_rendered_metric_is_in_the_golden_calls() -> None:
     for line in golden(METRICS).decode().splitlines():
         assert line.split("{")[0].split(" ")[0].encode() in golden(CALLS)
--- a/tests/gateway/test_golden_cli.py
+++ b/tests/gateway/test_golden_cli.py
@@ -1,4 +1,4 @@
-"""The command line's documents, texts, files and exit codes."""
+"""Golden output, result files and exit codes of the command line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 WIDTH = "100"
 PRODUCT, SHOWN_PRODUCT = "badgeryoke", "PRODUCT"  # the program's own name is not part of the golden texts
-CHECK, LABORATORY, FOLDER = "cli-check.txt", "cli-lab.txt", "cli-folder.txt"
+CHECK, LAB, FOLDER = "cli-check.txt", "cli-lab.txt", "cli-folder.txt"
 PLATFORM: dict[str, Any] = {
     "name": "g0",
     "listen": "127.0.0.1:6379",
@@ -42,8 +42,8 @@
 
 
 @pytest.fixture(autouse=True)
-def _same_everywhere(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """A folder of its own, the width of a page, and nothing told by the environment."""
+def _fixed_environment(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+    """Run each test in its own folder, with a fixed terminal width and without configuration variables."""
     monkeypatch.chdir(tmp_path)
     monkeypatch.setenv("COLUMNS", WIDTH)
     for name in ("LB_CONFIG", "LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_MGMT", "LB_SOCKET_FD"):
@@ -52,80 +52,79 @@
     yield
 
 
-def called(*words: str) -> str:
-    """A command, its exit code and what it said on its two streams."""
-    got = CliRunner().invoke(main.cli, list(words))
-    said = f"{got.stdout}{got.stderr}".replace(PRODUCT, SHOWN_PRODUCT)
-    return f"$ {SHOWN_PRODUCT} {' '.join(words)}\n{said}exit code {got.exit_code}\n"
+def transcript(*arguments: str) -> str:
+    """Run a command; return it with its standard output, standard error and exit code."""
+    result = CliRunner().invoke(main.cli, list(arguments))
+    output = f"{result.stdout}{result.stderr}".replace(PRODUCT, SHOWN_PRODUCT)
+    return f"$ {SHOWN_PRODUCT} {' '.join(arguments)}\n{output}exit code {result.exit_code}\n"
 
 
 def checks() -> bytes:
-    """`check` of good and faulty files, as lines and as JSON."""
+    """`check` on valid and invalid files, with its output as lines and as JSON."""
     for name, text in OPERATORS_FILES.items():
         Path(name).write_text(text)
     Path("good.json").write_text(json.dumps(PLATFORM))
     Path("faulty.json").write_text(json.dumps({**PLATFORM, "settings": {**FULL, "me": 9}}))
     Path("no-object.json").write_text("[]")
     names = [*OPERATORS_FILES, "good.json", "faulty.json", "no-object.json", "none.toml", "none.json"]
-    return "".join(called("check", name) + called("check", name, "--json") for name in names).encode()
+    return "".join(transcript("check", name) + transcript("check", name, "--json") for name in names).encode()
 
 
-def laboratory() -> bytes:
-    """The lists, simulated runs and refusals of the laboratory."""
+def lab_commands() -> bytes:
+    """The scenario lists, simulated runs and rejected calls of the `lab` commands."""
     Path("golden.scm").write_text(SCENARIO)
     Path("faulty.scm").write_text("(scenario x\n  (gateways three))")
     sim = ("lab", "sim", "golden.scm", "--jobs", "1")
     return "".join(
         [
-            called("lab", "list"),
-            called("lab", "list", "--json"),
-            called(*sim, "--json"),
-            called(*sim),
-            called(*sim, "--seeds", "2", "--gateways", "5", "--no-watch", "--json"),
-            called("lab", "sim", "fleet-lose-three", "--jobs", "1", "--json"),
-            called("lab", "sim", "no-such"),
-            called("lab", "sim", "faulty.scm"),
-            called("lab", "run", "faulty.scm"),
+            transcript("lab", "list"),
+            transcript("lab", "list", "--json"),
+            transcript(*sim, "--json"),
+            transcript(*sim),
+            transcript(*sim, "--seeds", "2", "--gateways", "5", "--no-watch", "--json"),
+            transcript("lab", "sim", "fleet-lose-three", "--jobs", "1", "--json"),
+            transcript("lab", "sim", "no-such"),
+            transcript("lab", "sim", "faulty.scm"),
+            transcript("lab", "run", "faulty.scm"),
         ]
     ).encode()
 
 
 def result_folder() -> bytes:
-    """The files of a run, the comparison of two, and the page written anew; the checkout's commit left
-    out."""
+    """The files of a run, the comparison of two runs, and a regenerated report, without the commit."""
     Path("golden.scm").write_text(SCENARIO)
-    said = [
-        called("lab", "sim", "golden.scm", "--jobs", "1", "--to", "one", "--json"),
-        called("lab", "sim", "golden.scm", "--jobs", "1", "--to", "two", "--no-watch", "--json"),
-        called("lab", "compare", "one", "two"),
-        called("lab", "compare", "one", "two", "--json"),
-        called("lab", "report", "one"),
+    transcripts = [
+        transcript("lab", "sim", "golden.scm", "--jobs", "1", "--to", "one", "--json"),
+        transcript("lab", "sim", "golden.scm", "--jobs", "1", "--to", "two", "--no-watch", "--json"),
+        transcript("lab", "compare", "one", "two"),
+        transcript("lab", "compare", "one", "two", "--json"),
+        transcript("lab", "report", "one"),
     ]
     files = [f"--- {path.name}\n{path.read_text()}" for path in sorted(Path("one").iterdir())]
-    return without_commit("".join(said + files)).encode()
+    return without_commit("".join(transcripts + files)).encode()
 
 
 def without_commit(text: str) -> str:
-    """The text without the commit that it was made by, which every change moves."""
+    """Remove the commit of the checkout from the text; it changes with every commit."""
     text = re.sub(r'("commit": ")[0-9a-f]*"', r'\1"', text)
     text = re.sub(r'("figure": "commit", "first": ")[0-9a-f]*(", "second": ")[0-9a-f]*"', r'\1\2"', text)
     return re.sub(r"(?m)^.*\bcommit\b(?!\").*\n", "", text)
 
 
-def test_every_check_is_the_golden_one() -> None:
+def test_check_matches_the_golden_file() -> None:
     assert_golden(CHECK, checks())
 
 
-def test_the_laboratory_says_the_golden_words() -> None:
-    assert_golden(LABORATORY, laboratory())
+def test_lab_commands_match_the_golden_file() -> None:
+    assert_golden(LAB, lab_commands())
 
 
-def test_a_result_folder_is_the_golden_one() -> None:
+def test_a_result_folder_matches_the_golden_file() -> None:
     assert_golden(FOLDER, result_folder())
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ("no-such",),
         ("check", "--no-such"),
@@ -134,5 +133,5 @@
         ("lab", "sim", "demo", "--seeds", "0"),
     ],
 )
-def test_a_call_that_is_none_ends_with_2(words: tuple[str, ...]) -> None:
-    assert CliRunner().invoke(main.cli, list(words)).exit_code == main.EXIT_INVALID_INPUT == 2
+def test_an_invalid_command_line_exits_with_2(arguments: tuple[str, ...]) -> None:
+    assert CliRunner().invoke(main.cli, list(arguments)).exit_code == main.EXIT_INVALID_INPUT == 2
--- a/tests/gateway/test_golden_settings.py
+++ b/tests/gateway/test_golden_settings.py
@@ -1,4 +1,4 @@
-"""Every message that names a key: of the platform's file, of its settings, of the operators' files."""
+"""Golden error messages for invalid values in the platform's file, its settings and the operators' files."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from tests.support.stand_ins import entry
 
 SETTINGS, CONFIG = "faults-settings.txt", "faults-config.txt"
-OPERATORS, ROSTER = "faults-operators.txt", "faults-roster.txt"
+OPERATORS, ENDPOINT_LIST = "faults-operators.txt", "faults-roster.txt"
 GOOD = "good"
 VALUES: tuple[Any, ...] = ("5", 5, -1, 0, 0.5, 1e308, True, False, "", "x" * 300, [], [1], {}, "no such word")
 PLATFORM: dict[str, Any] = {
@@ -58,7 +58,7 @@
 
 
 def outcome(read: Callable[[], object]) -> str:
-    """What the reading says."""
+    """The error message of a reader, or GOOD."""
     try:
         read()
     except OperatorsError as fault:
@@ -68,43 +68,49 @@
     return GOOD
 
 
-def shown(value: object) -> str:
-    """A value as a short word."""
+def abbreviated(value: object) -> str:
+    """A value as JSON, cut to 24 characters."""
     return json.dumps(value)[:24]
 
 
-def about(
+def messages_for_key(
     path: str, raw: dict[str, Any], values: Iterable[Any], read: Callable[[dict[str, Any]], object]
 ) -> list[str]:
-    """What is said with a key missing, and with each of the values under it."""
+    """The messages for a missing key, and for each of the values under it."""
     lines = [f"{path} missing: {outcome(lambda: read(changed_file(raw, path)))}"]
     for value in values:
-        made = changed_file(raw, path, value)
-        lines.append(f"{path} = {shown(value)}: {outcome(lambda: read(made))}")  # noqa: B023
+        changed = changed_file(raw, path, value)
+        lines.append(f"{path} = {abbreviated(value)}: {outcome(lambda: read(changed))}")  # noqa: B023
     return lines
 
 
-def settings_told() -> list[str]:
-    """Of the settings: each key that is used, and keys that no page names."""
-    lines = [line for path in USED for line in about(entry_path(path), FULL, VALUES, parse_settings)]
-    doubled = copy.deepcopy(FULL)
-    doubled["classes"][1]["name"] = doubled["classes"][0]["name"]
-    lines.append(f"classes, a name twice: {outcome(lambda: parse_settings(doubled))}")
-    strange = changed_file(
+def settings_messages() -> list[str]:
+    """The messages for each key of the settings that is used, and for unknown keys."""
+    lines = [
+        line for path in USED for line in messages_for_key(entry_path(path), FULL, VALUES, parse_settings)
+    ]
+    duplicated = copy.deepcopy(FULL)
+    duplicated["classes"][1]["name"] = duplicated["classes"][0]["name"]
+    lines.append(f"classes, a name twice: {outcome(lambda: parse_settings(duplicated))}")
+    with_unknown_keys = changed_file(
         changed_file(changed_file(FULL, "zzz", 1), "rules.cold_form", 1), "classes.1.slo", 1
     )
-    return [*lines, f"unknown: {', '.join(unknown_keys(strange))}"]
+    return [*lines, f"unknown: {', '.join(unknown_keys(with_unknown_keys))}"]
 
 
-def config_told(folder: Path) -> list[str]:
-    """Of the platform's file and of the environment."""
+def config_messages(folder: Path) -> list[str]:
+    """The messages for the platform's file and for environment variables."""
     file = folder / "config.json"
 
     def read(raw: object, **environ: str) -> object:
         file.write_text(json.dumps(raw))
         return read_config({"LB_CONFIG": str(file), **environ}, folder)
 
-    lines = [line for path in PLATFORM_KEYS for line in about(path, PLATFORM, (*VALUES, *ADDRESSES), read)]
+    lines = [
+        line
+        for path in PLATFORM_KEYS
+        for line in messages_for_key(path, PLATFORM, (*VALUES, *ADDRESSES), read)
+    ]
     lines += [
         f"LB_LISTEN = {text}: {outcome(lambda: read(PLATFORM, LB_LISTEN=text))}"  # noqa: B023
         for text in ADDRESSES
@@ -122,8 +128,8 @@
     operators = folder / "deploy" / "badgeryoke.toml"
     operators.parent.mkdir()
     operators.write_text("[counter_watch]\nenabled = true\n")
-    uncounted = changed_file(PLATFORM, "settings.family_info.has_counter", False)
-    lines.append(f"a watch without a counter: {outcome(lambda: read(uncounted))}")
+    without_counter = changed_file(PLATFORM, "settings.family_info.has_counter", False)
+    lines.append(f"a watch without a counter: {outcome(lambda: read(without_counter))}")
     operators.write_text("[log]\nlevel = 3\n")
     lines.append(f"operators' file: {outcome(lambda: read(PLATFORM))}")
     operators.unlink()
@@ -207,8 +213,8 @@
 )
 
 
-def operators_told(folder: Path) -> list[str]:
-    """Of the operators' two files."""
+def operators_messages(folder: Path) -> list[str]:
+    """The messages for the two files of the operators."""
     lines = []
     operators, diameter = folder / "operators.toml", folder / "diameter.toml"
     settings: api.Settings = parse_settings(FULL)
@@ -221,24 +227,24 @@
     return lines
 
 
-def roster_told() -> list[str]:
-    """Of a list of servers, as discovery gives it or as the platform's file holds it."""
+def endpoint_list_messages() -> list[str]:
+    """The messages for an endpoint list from discovery or from the platform's file."""
     raw = {"version": 1, "full": True, "servers": [entry("a", 1)]}
     paths = ["version", "full", "servers", *(f"servers.0.{key}" for key in ENTRY_KEYS)]
-    return [line for path in paths for line in about(path, raw, VALUES, read_endpoint_snapshot)]
+    return [line for path in paths for line in messages_for_key(path, raw, VALUES, read_endpoint_snapshot)]
 
 
-def test_what_is_said_of_settings() -> None:
-    assert_golden(SETTINGS, text_lines(settings_told()))
+def test_messages_for_the_settings() -> None:
+    assert_golden(SETTINGS, text_lines(settings_messages()))
 
 
-def test_what_is_said_of_the_platforms_file(tmp_path: Path) -> None:
-    assert_golden(CONFIG, text_lines(config_told(tmp_path)))
+def test_messages_for_the_platforms_file(tmp_path: Path) -> None:
+    assert_golden(CONFIG, text_lines(config_messages(tmp_path)))
 
 
-def test_what_is_said_of_the_operators_files(tmp_path: Path) -> None:
-    assert_golden(OPERATORS, text_lines(operators_told(tmp_path)))
+def test_messages_for_the_operators_files(tmp_path: Path) -> None:
+    assert_golden(OPERATORS, text_lines(operators_messages(tmp_path)))
 
 
-def test_what_is_said_of_a_list_of_servers() -> None:
-    assert_golden(ROSTER, text_lines(roster_told()))
+def test_messages_for_an_endpoint_list() -> None:
+    assert_golden(ENDPOINT_LIST, text_lines(endpoint_list_messages()))
