--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -1260,8 +1260,8 @@
     assert observed_conditions(("b",)) == ClusterConditions(0, 0, 0, -1.0, 0.0)
     assert observed_conditions(("a",)).emptied_zones == 1  # the only gateway of its zone
     assert observed_conditions(("b", "c")).spare_voters == -1
-    assert observed_conditions(("b",), alive=frozenset({"a/1", "b/1", "d/1"})).missing_copies == 1
-    assert observed_conditions(("b",), behind={"g0": ("c/1",)}).missing_copies == 1
+    assert observed_conditions(("b",), alive_ids=frozenset({"a/1", "b/1", "d/1"})).missing_copies == 1
+    assert observed_conditions(("b",), lagging_replicas={"g0": ("c/1",)}).missing_copies == 1
     assert observed_conditions(
         ("b",), load={"capacity": 100.0, "demand": 20.0, "promised": 5.0}
     ) == ClusterConditions(0, 0, 0, 75.0, 25.0)
@@ -1311,9 +1311,10 @@
     alive = frozenset({"a/1", "c/1", "d/1"})
     # It pauses without a delay; a gateway that ended as planned is not dead.
     assert [
-        command.cause for command in leader_proposals(restarts, 2.0, alive=alive, dead_for_ms={"b/1": 0.0})
+        command.cause
+        for command in leader_proposals(restarts, 2.0, alive_ids=alive, dead_for_ms={"b/1": 0.0})
     ] == ["b is dead while granting"]
-    assert leader_proposals(restarts, 2.0, alive=alive) == []
+    assert leader_proposals(restarts, 2.0, alive_ids=alive) == []
 
 
 def test_a_gateway_acts_only_on_a_fresh_assignment_of_its_own_process() -> None:
