--- a/badgeryoke/gateway/cluster/admin_calls.py
+++ b/badgeryoke/gateway/cluster/admin_calls.py
@@ -1,4 +1,4 @@
-"""The operators' FLEET call: one JSON object in, a command for the cluster out; and its answer as one line.
+"""The operators' FLEET call: parses one JSON object into a cluster command, and formats the answer line.
 
     FLEET {"do": "put", "id": "7f3a", "name": "payday", "value": "armed"}
     +OK null
@@ -22,12 +22,11 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 
 MAX_ID_CHARS = 128
-# Of what a call has wrong, as an error quotes it.
-_MAX_QUOTED_CHARS = 64
+_MAX_QUOTED_CHARS = 64  # of a call's invalid text, in an error
 _GENERATED_ID_BYTES = 8
 _STATUS_NAME = "status"
-# Tags of the commands that an operator may call for.  All others are the cluster's own: from outside they would break
-# its order.
+# Tags of the commands that operators may send.  All others are internal to the cluster: sent from outside, they would
+# violate its protocols.
 _OPERATOR_COMMAND_TAGS = frozenset(
     {
         "Promise",
@@ -52,18 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequest:
-    """The call for the status of this member."""
+    """A request for the status of this member."""
 
 
 def operator_commands() -> dict[str, type[Command]]:
-    """The operators' commands that this program has, by their normalized names."""
+    """The commands that operators may send, by normalized name."""
     return {
-        _normalized(tag): kind for tag, kind in REGISTRY.commands.items() if tag in _OPERATOR_COMMAND_TAGS
+        _normalized(tag): command_type
+        for tag, command_type in REGISTRY.commands.items()
+        if tag in _OPERATOR_COMMAND_TAGS
     }
 
 
 def parse_call(line: bytes) -> Command | StatusRequest | InvalidCall:
-    """What a call asks for, or what is wrong with it."""
+    """Parse a call, or return what is wrong with it."""
     fields = _decode_object(line)
     if isinstance(fields, InvalidCall):
         return fields
@@ -76,14 +77,17 @@
         return StatusRequest()
     commands = operator_commands()
     if normalized not in commands:
-        known_names = [_STATUS_NAME, *sorted(kind.command_name() for kind in commands.values())]
+        known_names = [
+            _STATUS_NAME,
+            *sorted(command_type.command_name() for command_type in commands.values()),
+        ]
         quoted = name[:_MAX_QUOTED_CHARS]
         return InvalidCall("do", f"{quoted!r} is unknown; {_hint(quoted, known_names)}")
     return _parse_command(fields, commands[normalized])
 
 
 def format_answer(result: ApplyResult | ClusterError) -> bytes:
-    """The line that answers a call."""
+    """Format the answer line of a call."""
     error = result if isinstance(result, ClusterError) else result.error
     if error is None:
         assert isinstance(result, ApplyResult)
@@ -102,12 +106,12 @@
 
 
 def _hint(word: str, known: Sequence[str]) -> str:
-    """The known word that is nearest, or all of them."""
+    """Suggest the closest known word, or list all of them."""
     nearest = difflib.get_close_matches(word, known, 1)
     return f"did you mean {nearest[0]}?" if nearest else f"known are {', '.join(known)}"
 
 
-# An object's values are `Any` until they are converted to a command.
+# The values of a decoded object are `Any` until `_parse_command` converts them.
 
 
 def _decode_object(line: bytes) -> dict[str, Any] | InvalidCall:
@@ -121,19 +125,19 @@
     return decoded
 
 
-def _parse_command(fields: dict[str, Any], kind: type[Command]) -> Command | InvalidCall:
-    """A command of that type, or the key that is wrong."""
-    known_keys = [field.encode_name for field in msgspec.structs.fields(kind)]
+def _parse_command(fields: dict[str, Any], command_type: type[Command]) -> Command | InvalidCall:
+    """Convert the fields to a command of a type, or return the invalid key."""
+    known_keys = [field.encode_name for field in msgspec.structs.fields(command_type)]
     for key in fields:
         if key not in known_keys:
             quoted = key[:_MAX_QUOTED_CHARS]
             return InvalidCall(quoted, f"unknown; {_hint(quoted, known_keys)}")
-    if kind.is_read_only:
+    if command_type.is_read_only:
         fields.setdefault("id", secrets.token_hex(_GENERATED_ID_BYTES))
     elif "id" not in fields:
         return InvalidCall("id", "missing: with an id of its own the call can be made again without harm")
     try:
-        command: Command = msgspec.convert(fields, kind)
+        command: Command = msgspec.convert(fields, command_type)
     except msgspec.ValidationError as fault:
         problem, _, path = str(fault).replace("`", "").partition(" - at $")
         return InvalidCall(path.lstrip(".") or "call", problem)
@@ -144,6 +148,6 @@
     if not 0 < len(command.id) <= MAX_ID_CHARS:
         return InvalidCall("id", f"expected 1 to {MAX_ID_CHARS} characters")
     if problem := command.validate():
-        key, colon, what = problem.partition(": ")
-        return InvalidCall(key, what) if colon else InvalidCall("call", problem)
+        key, colon, detail = problem.partition(": ")
+        return InvalidCall(key, detail) if colon else InvalidCall("call", problem)
     return command
--- a/badgeryoke/gateway/cluster/clock.py
+++ b/badgeryoke/gateway/cluster/clock.py
@@ -1,4 +1,4 @@
-"""The clocks of a cluster member: one that never steps, and a wall clock derived from it."""
+"""The clocks of a cluster member: a monotonic clock, and a wall clock derived from it."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 def boot_time_ms() -> float:
-    """This machine's clock that never steps, and goes on while the machine is suspended, ms."""
+    """Monotonic time, ms; it includes the time that the machine is suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 class ClusterClock:
-    """Reads the wall clock once, at the start: a later step of it moves nothing."""
+    """Reads the wall clock once, at the start, so that a later step of it has no effect."""
 
     def __init__(
         self,
@@ -20,8 +20,8 @@
         unix_time_s: Callable[[], float] = time.time,
     ) -> None:
         self.monotonic_ms = monotonic_ms
-        self._unix_less_monotonic_ms = unix_time_s() * 1000.0 - monotonic_ms()
+        self._unix_offset_ms = unix_time_s() * 1000.0 - monotonic_ms()
 
     def unix_ms(self) -> float:
-        """Unix time, ms, as of the start."""
-        return self.monotonic_ms() + self._unix_less_monotonic_ms
+        """Unix time, ms: the wall clock at the start plus the monotonic time since."""
+        return self.monotonic_ms() + self._unix_offset_ms
--- a/badgeryoke/gateway/cluster/closing_sockets.py
+++ b/badgeryoke/gateway/cluster/closing_sockets.py
@@ -1,6 +1,6 @@
-"""Half-closed connections that wait for the server's end, so that closing holds up nobody.
+"""Half-closed connections that wait in the background for the server to close its side.
 
-A socket is closed when the server has closed its side, at a reset, or when the server's idle timeout has passed.
+A socket is closed when the server has closed its side, at a reset, or after the server's idle timeout.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ClosingSockets:
-    """`on_closed` is called with the lease of each connection that is closed on both sides."""
+    """Closes sockets; `on_closed` is called with the lease of each connection once it is closed on both sides."""
 
     def __init__(self, on_closed: Callable[[UpstreamLease], None]) -> None:
         self._on_closed = on_closed
@@ -29,11 +29,11 @@
         self._closing: dict[socket.socket, _ClosingSocket] = {}
 
     def close(self, lease: UpstreamLease, connection: socket.socket, timeout_ms: float) -> None:
-        """Send the end, and wait for the server's."""
+        """Half-close a connection, and wait for the server to close its side, at most for the timeout."""
         try:
-            # One call: a connection that is not established yet is aborted, an established one half-closed.
+            # Aborts a connection that is not established yet, and half-closes an established one.
             connection.shutdown(socket.SHUT_WR)
-            connection.getpeername()  # raises where nothing is open any more
+            connection.getpeername()  # raises if the connection is not open any more
         except OSError:
             self._closed(lease, connection)
             return
@@ -48,14 +48,14 @@
             self._closed(self._closing[connection].lease, connection)
 
     def _read_to_end(self, connection: socket.socket) -> None:
-        """Discard what still comes."""
+        """Discard received data until the server closes its side."""
         try:
             if connection.recv(READ_CHUNK_BYTES):
                 return
         except BlockingIOError:
             return
         except OSError:
-            pass  # a reset is an end as well
+            pass  # a reset closes the connection as well
         self._closed(self._closing[connection].lease, connection)
 
     def _closed(self, lease: UpstreamLease, connection: socket.socket) -> None:
--- a/badgeryoke/gateway/cluster/connection_leases.py
+++ b/badgeryoke/gateway/cluster/connection_leases.py
@@ -1,6 +1,6 @@
-"""All upstream connections of a gateway under leases of the cluster, and this gateway's part in a rolling restart.
+"""Cluster leases for all upstream connections of a gateway, and this gateway's part in a rolling restart.
 
-All times are ms of the clock that never steps.
+All times are ms of the monotonic clock.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from badgeryoke.gateway.cluster.settings import ClusterSettings
 from badgeryoke.gateway.cluster.upstream_lease import UpstreamLease
 
-CHECK_INTERVAL_S = 0.05  # between checks of what has to be closed, and of what a rolling restart wants
+CHECK_INTERVAL_S = 0.05  # between checks for connections to close and for actions of a rolling restart
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 _PROCESS_TOKEN_BYTES = 6
 
@@ -34,7 +34,7 @@
 class ConnectionLeases:
     """All leases of one gateway; a `badgeryoke.cluster.node.LeaseClient`.
 
-    `idle_ms`: so long after a connection's last use servers have closed it for sure.
+    `idle_ms`: servers have certainly closed a connection this long after its last use.
     """
 
     def __init__(
@@ -46,9 +46,9 @@
         gateway: DrainableGateway,
     ) -> None:
         self.idle_ms, self.monotonic_ms = idle_ms, monotonic_ms
-        self.only_process = True  # no earlier process of this member still answers clients
-        self.draining = False  # the process is to end
-        self.wake: Callable[[], None] | None = None  # has the node tick at once
+        self.only_process = True  # false while an earlier process of this member still serves clients
+        self.draining = False  # the process is shutting down
+        self.wake: Callable[[], None] | None = None  # makes the node tick at once
         self._scheduler, self._gateway = scheduler, gateway
         self._loop = asyncio.get_running_loop()
         self._limits = ServerLimits(settings.servers)
@@ -61,18 +61,18 @@
 
     @property
     def lease_holder(self) -> ConnectionLeaseHolder | None:
-        """This gateway's leases; none before the cluster's node runs."""
+        """This gateway's leases; None before the cluster's node runs."""
         return self._holder
 
     @property
     def restart_agent(self) -> RollingRestartAgent | None:
-        """This gateway's part in a rolling restart; none before the cluster's node runs."""
+        """This gateway's agent for rolling restarts; None before the cluster's node runs."""
         return self._duties.agent if self._duties is not None else None
 
     def attach(self, node: object, invariants: Invariants) -> None:
-        """The node runs, and this process holds the lock on the member's directory.
+        """Use a started node; this process has to hold the lock on the member's directory.
 
-        A stand-in for the node, in a test, has no leases.
+        A test's replacement for the node gets no leases.
         """
         if not isinstance(node, ClusterNode):
             return
@@ -88,14 +88,14 @@
         self._duties = RollingRestartDuties(agent, node, holder, self._gateway)
         node.connection_limits = dict(self._limits.listed_limits)
         if not node.setup.capacity:
-            node.load.pop("capacity", None)  # not known: a rolling restart does not judge by it
+            node.load.pop("capacity", None)  # unknown, so a rolling restart must not consider it
         node.lease_clients += [self, agent]
         self._check_periodically()
 
     # Upstreams.
 
     def create_lease(self, server: str) -> UpstreamLease | None:
-        """For a new upstream, by discovery's name of its server; none where no limit is kept."""
+        """Make the lease of a new upstream, by its server's name in discovery; None if there is no limit."""
         if not self._limits.limit(server):
             return None
         lease = UpstreamLease(self, server)
@@ -103,18 +103,18 @@
         return lease
 
     def retire(self, lease: UpstreamLease) -> None:
-        """Its upstream is drained for good."""
+        """Drop a lease whose upstream is removed, once all its connections are closed."""
         lease.retired = True
         self._remove_if_unused(lease)
 
     def update_servers(self, servers: Iterable[str]) -> None:
-        """Discovery's list: whoever leads a group keeps the limits of these."""
+        """Take discovery's list of servers; a group's leader sets the limits of the servers in it."""
         self._limits.update(servers)
         if self._node is not None:
             self._node.connection_limits = dict(self._limits.listed_limits)
 
     def close_socket(self, lease: UpstreamLease, connection: socket.socket) -> None:
-        """Close this side; the connection counts until the server has closed its own."""
+        """Close this side; the connection counts until the server has closed its side."""
         self._closing_sockets.close(lease, connection, self.idle_ms)
 
     def _connection_closed(self, lease: UpstreamLease) -> None:
@@ -132,7 +132,7 @@
                 del self._leases[lease.server]
 
     def _notify_upstreams(self, server: str) -> None:
-        """More connections to a server may be open than before."""
+        """Notify a server's upstreams that they may open more connections."""
         for lease in self._leases.get(server, ()):
             if lease.upstream is not None and not lease.retired:
                 lease.upstream.capacity_available()
@@ -167,20 +167,20 @@
             if needed or server in holder.servers:
                 holder.set_need(server, needed)
 
-    # Checks: what has to be closed, and what a rolling restart wants.
+    # Periodic checks, for connections to close and for actions of a rolling restart.
 
     @property
     def is_empty(self) -> bool:
-        """Nothing is open and no lease is held."""
+        """Whether no connection is open and no lease is held."""
         return self._holder is None or self._holder.empty
 
     def drain(self) -> None:
-        """The process is to end: close and give back what is not in use, from now on."""
+        """Close connections and return leases that are not in use, from now on; the process is shutting down."""
         self.draining = True
         self._check()
 
     def close(self) -> None:
-        """The end of the process: nothing more is checked, all is closed."""
+        """Stop the checks and close all closing sockets, at the end of the process."""
         if self._timer is not None:
             self._timer.cancel()
         self._closing_sockets.close_all()
@@ -190,7 +190,7 @@
         self._check()
 
     def _check_soon(self) -> None:
-        """Not while the node handles an event."""
+        """Check in the event loop's next iteration: the node may be handling an event now."""
         self._loop.call_soon(self._check)
 
     def _check(self) -> None:
@@ -208,15 +208,15 @@
         self._scheduler.run()
 
     def _close_surplus(self, holder: ConnectionLeaseHolder, now_ms: float) -> None:
-        """Close what is open beyond a lease that has shrunk or nears its end."""
+        """Close connections beyond a lease that has shrunk or is about to expire."""
         for leases in self._leases.values():
             for lease in leases:
                 lease.surplus_count = 0
         for server, surplus in holder.excess(now_ms):
-            lease_ends = not holder.lease_valid(now_ms + CLOSE_BEFORE_EXPIRY_MS, server)
+            lease_expires = not holder.lease_valid(now_ms + CLOSE_BEFORE_EXPIRY_MS, server)
             for lease in self._leases.get(server, ()):
                 count = min(surplus, lease.open_count)
                 surplus -= count
                 lease.surplus_count = count
                 if count and lease.upstream is not None:
-                    lease.upstream.close_connections(count, include_in_use=lease_ends)
+                    lease.upstream.close_connections(count, include_in_use=lease_expires)
--- a/badgeryoke/gateway/cluster/node_driver.py
+++ b/badgeryoke/gateway/cluster/node_driver.py
@@ -1,4 +1,4 @@
-"""Hands events to a node and carries out the effects it returns; decides nothing."""
+"""Feeds events to a node and carries out the effects that it returns; has no logic of its own."""
 
 from __future__ import annotations
 
@@ -27,27 +27,27 @@
 log = logging.getLogger(__name__)
 
 MIN_TIMER_MS = 1.0
-_TIMER_AT_ONCE_MS = 0.0  # before any time that a node gives
+_IMMEDIATE_DUE_MS = 0.0  # earlier than any `due` of a node
 
 
 class Node(Protocol):
-    """What is driven: `badgeryoke.cluster.node.ClusterNode`, or a stand-in."""
+    """The driven node: `badgeryoke.cluster.node.ClusterNode`, or a test's replacement for it."""
 
     @property
     def due(self) -> float:
-        """When the next Tick has to come at the latest, ms of the monotonic clock."""
+        """The latest time of the next Tick, ms of the monotonic clock."""
 
     def handle(self, now: float, wall: float, event: NodeEvent) -> list[Effect]:
-        """Take an event; monotonic and Unix time, ms."""
+        """Handle an event; `now` is monotonic and `wall` Unix time, ms."""
 
     def status(self) -> dict[str, Any]:
         """For operators; JSON values."""
 
 
 class NodeDriver:
-    """One node, its timer, and the I/O that its effects go to.
+    """One node, its timer, and the I/O that carries out its effects.
 
-    `on_failure` is called where the node raises or breaks an invariant; `stop` has to follow.
+    `on_failure` is called when the node raises or breaks an invariant; it has to call `stop`.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
 
     @property
     def timer_armed(self) -> bool:
-        """Whether a Tick is to come."""
+        """Whether a Tick is scheduled."""
         return self._timer is not None
 
     def feed(self, *events: NodeEvent) -> None:
-        """Hand events to the node in order; what it wants persisted for all of them is written together."""
+        """Feed events to the node in order; all records that it persists for them are written together."""
         requests: list[PersistRecords] = []
         for event in events:
             if self._stopped:
@@ -91,27 +91,29 @@
         self._arm_timer()
 
     def wake(self) -> None:
-        """Something is due sooner than the node has said: tick in the loop's next turn."""
-        if self._timer_due_ms > _TIMER_AT_ONCE_MS and not self._stopped:
-            self._start_timer(_TIMER_AT_ONCE_MS, 0.0)
+        """Tick in the event loop's next iteration, because something is due before `node.due`."""
+        if self._timer_due_ms > _IMMEDIATE_DUE_MS and not self._stopped:
+            self._start_timer(_IMMEDIATE_DUE_MS, 0.0)
 
     def stop(self) -> None:
-        """Hand it no more events; further calls do nothing."""
+        """Feed no more events; further calls do nothing."""
         self._stopped = True
         if self._timer is not None:
             self._timer.cancel()
 
     def _handle(self, event: NodeEvent) -> list[Effect] | None:
-        """The effects of an event; None where the node has failed."""
+        """The effects of an event; None if the node has failed."""
         try:
             effects = self.node.handle(self._clock.monotonic_ms(), self._clock.unix_ms(), event)
-        except Exception:  # whatever it is, the node's state cannot be relied on, and requests have to go on
-            kind = type(event).__name__
-            log.exception("cluster node failed at %s", kind)
-            self._on_failure(InvariantBroken(self._member, f"it failed at {kind}; the log has the cause"))
+        except Exception:  # of any kind: the node's state is unreliable, and requests must still be served
+            event_type = type(event).__name__
+            log.exception("cluster node failed at %s", event_type)
+            self._on_failure(
+                InvariantBroken(self._member, f"it failed at {event_type}; the log has the cause")
+            )
             return None
         if self._invariants.count > self._broken_invariants:
-            # The effects are built on a state that breaks a rule: none is carried out.
+            # The effects result from a state that breaks a rule, so none is carried out.
             rule, facts = self._invariants.broken[-1]
             self._broken_invariants = self._invariants.count
             self._on_failure(InvariantBroken(self._member, f"{rule.name}: {rule.value}: {facts}"))
@@ -130,7 +132,7 @@
                 _write_log_line(effect)
 
     def _arm_timer(self) -> None:
-        """Have the next Tick come when it is due."""
+        """Schedule the next Tick for when it is due."""
         due_ms = self.node.due
         if not self._stopped and due_ms < self._timer_due_ms:
             delay_ms = max(due_ms - self._clock.monotonic_ms(), MIN_TIMER_MS)
--- a/badgeryoke/gateway/cluster/pending_calls.py
+++ b/badgeryoke/gateway/cluster/pending_calls.py
@@ -1,4 +1,4 @@
-"""Operations that the node was asked for and has not completed yet."""
+"""Operations that were submitted to the node and are not completed yet."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class PendingCalls:
-    """Each operation has a token, by which its result is matched.
+    """Matches results to operations by token.
 
-    Results are `Any`: what the state machine gives for a command, as in `OperationCompleted`.
+    A result is `Any`, as in `OperationCompleted`: its type depends on the command.
     """
 
     def __init__(self, token_prefix: str) -> None:
@@ -24,7 +24,7 @@
         return len(self._futures)
 
     async def wait_for_result(self, submit: Callable[[str], None]) -> Any:
-        """Hand a new token to `submit`, and wait for the result; without a timeout of its own."""
+        """Call `submit` with a new token, and wait for the result; there is no timeout."""
         self._last_token_number += 1
         token = f"{self._token_prefix}.{self._last_token_number}"
         future = self._futures[token] = asyncio.get_running_loop().create_future()
@@ -35,12 +35,12 @@
             self._futures.pop(token, None)
 
     def complete(self, token: str, result: Any) -> None:
-        """The result of an operation; ignored where nobody waits for it any more."""
+        """Set the result of an operation; ignored if nothing waits for it any more."""
         future = self._futures.pop(token, None)
         if future is not None and not future.done():
             future.set_result(result)
 
     def complete_all(self, error: ClusterError) -> None:
-        """End all operations with an error."""
+        """Complete all operations with an error."""
         for token in list(self._futures):
             self.complete(token, error)
--- a/badgeryoke/gateway/cluster/rolling_restart_duties.py
+++ b/badgeryoke/gateway/cluster/rolling_restart_duties.py
@@ -1,4 +1,4 @@
-"""What a rolling restart asks of this gateway: pausing, resuming and ending it, and reporting how it stands."""
+"""This gateway's duties in a rolling restart: pausing, resuming and ending it, and reporting its state."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class DrainableGateway(Protocol):
-    """Of the gateway, what a rolling restart needs."""
+    """The part of the gateway that a rolling restart uses."""
 
     def pause(self) -> str:
-        """Begin draining; what is in the way of it, or an empty text."""
+        """Begin draining; returns why that is not possible, or an empty text."""
 
     def resume(self) -> str:
-        """Admit clients again; what is in the way of it, or an empty text."""
+        """Admit clients again; returns why that is not possible, or an empty text."""
 
     def end(self) -> None:
         """Begin a graceful shutdown."""
 
     @property
     def drained(self) -> bool:
-        """Clients are rejected, and the load balancer in front knows."""
+        """Whether clients are rejected, and the load balancer has had time to notice."""
 
     @property
     def unanswered(self) -> int:
-        """Requests without an answer."""
+        """The number of requests without a response."""
 
 
 class RollingRestartDuties:
-    """Goes between the agent, which knows what is desired, and the gateway."""
+    """Connects the agent, which knows the desired state, with the gateway."""
 
     def __init__(
         self,
@@ -47,13 +47,13 @@
         self._node, self._holder, self._gateway = node, holder, gateway
 
     def apply_restrictions(self, draining: bool) -> None:
-        """Have the node and the leases go by what the restart wants; `draining`: the process ends anyway."""
+        """Apply the restart's restrictions to the node and the leases; `draining`: the process is shutting down."""
         self._holder.need_multiple = self.agent.need_multiple
         self._holder.draining = draining or self.agent.must_not_lead
         self._node.avoid_leadership = self.agent.must_not_lead
 
     def report_state(self) -> None:
-        """Tell the agent how this gateway stands."""
+        """Report this gateway's state to the agent."""
         node, holder = self._node, self._holder
         voting_replicas = [
             replica for replica in node.replicas.values() if replica.member_id in replica.config.voters
@@ -68,7 +68,7 @@
         )
 
     def carry_out(self, now_ms: float) -> None:
-        """Do what the restart wants now."""
+        """Carry out the actions that the restart wants now."""
         for desired in self.agent.next_actions(now_ms):
             log.info("rolling restart %s: %s", self.agent.restart, desired.name.lower())
             obstacle = self._apply(desired)
@@ -76,7 +76,7 @@
                 log.warning("rolling restart: cannot %s: %s", desired.name.lower(), obstacle)
 
     def _apply(self, desired: DesiredState) -> str:
-        """What is in the way, or an empty text."""
+        """Returns why the action is not possible, or an empty text."""
         match desired:
             case DesiredState.LEAVE:
                 self._gateway.end()
--- a/badgeryoke/gateway/cluster/running_member.py
+++ b/badgeryoke/gateway/cluster/running_member.py
@@ -1,4 +1,4 @@
-"""A member that runs: its storage writer, its transport, and the node that both serve."""
+"""A started member: its storage writer, its transport, and its node."""
 
 from __future__ import annotations
 
@@ -40,15 +40,15 @@
 
 @runtime_checkable
 class LeaseClientHost(Protocol):
-    """A node that polls lease clients; a stand-in may have none."""
+    """A node that polls lease clients; a test's replacement for the node may not do so."""
 
     lease_clients: list[LeaseClient]
 
 
 class RunningMember:
-    """Owns the storage from its making on, and runs from `make_node` and `start` on.
+    """Owns the storage, and runs once `make_node` and `start` were called.
 
-    `on_failure` is called where the node fails, `on_storage_failure` where nothing more is written.
+    `on_failure` is called when the node fails, `on_storage_failure` when the storage stops writing.
     """
 
     def __init__(
@@ -78,16 +78,16 @@
 
     @property
     def node(self) -> Node | None:
-        """The node, once it is made."""
+        """The node; None before `make_node`."""
         return self._driver.node if self._driver is not None else None
 
     @property
     def timer_armed(self) -> bool:
-        """Whether the node is to get a Tick."""
+        """Whether a Tick is scheduled."""
         return self._driver is not None and self._driver.timer_armed
 
     def make_node(self, node_factory: NodeFactory, invariants: Invariants) -> Node:
-        """Make the node of what the storage holds."""
+        """Make the node from the stored groups."""
         node = node_factory(
             self._setup,
             self._storage.persisted_groups,
@@ -96,7 +96,7 @@
             self._clock.unix_ms(),
             invariants,
         )
-        self._storage.persisted_groups = {}  # the node's own from here on
+        self._storage.persisted_groups = {}  # owned by the node from now on
         self._driver = NodeDriver(
             node,
             self._setup.member_name,
@@ -110,7 +110,7 @@
         return node
 
     def add_reservation_client(self) -> ReservationClient | None:
-        """Have the node poll for this gateway's reservations; None where it is a stand-in without lease clients."""
+        """Add a client for this gateway's reservations to the node; None if the node does not poll lease clients."""
         if not isinstance(self.node, LeaseClientHost):
             return None
         setup = self._setup
@@ -122,7 +122,7 @@
         return client
 
     def start(self, sockets: list[socket.socket]) -> None:
-        """Accept peers on sockets that listen already, dial them, and give the node its first Tick."""
+        """Accept peers on listening sockets, dial all peers, and feed the first Tick."""
         self.transport.listen(sockets)
         self.transport.dial_all()
         log.info(
@@ -135,21 +135,21 @@
         self.feed(Tick())
 
     def feed(self, *events: NodeEvent) -> None:
-        """Hand events to the node in order."""
+        """Feed events to the node in order."""
         if self._driver is not None:
             self._driver.feed(*events)
 
     def wake(self) -> None:
-        """Something is due sooner than the node has said: tick in the loop's next turn."""
+        """Tick in the event loop's next iteration, because something is due before `node.due`."""
         if self._driver is not None:
             self._driver.wake()
 
     def on_messages(self, sender: MemberId, messages: tuple[AnyMessage, ...]) -> None:
-        """The messages of one frame."""
+        """Feed the messages of one frame to the node."""
         self.feed(*(MessageReceived(sender, message) for message in messages))
 
     def stop(self) -> None:
-        """Hand the node no more events and disconnect; what was submitted is still written."""
+        """Feed no more events and disconnect; records submitted so far are still written."""
         if self._driver is not None:
             self._driver.stop()
         self.transport.close()
@@ -159,7 +159,7 @@
 
     def _storage_failed(self, error: ClusterError) -> None:
         self._on_storage_failure(error)
-        # Not at once: the node may be in the middle of the event whose records could not be taken.
+        # Deferred: the node may still be handling the event whose records were rejected.
         self._loop.call_soon(self.feed, StorageFailure(error))
 
 
--- a/badgeryoke/gateway/cluster/server_limits.py
+++ b/badgeryoke/gateway/cluster/server_limits.py
@@ -1,4 +1,4 @@
-"""The configured connection limits of servers, and the commands that keep the cluster's limits in step with them."""
+"""The configured connection limits of servers, and the commands that keep the cluster's limits in line with them."""
 
 from __future__ import annotations
 
@@ -11,39 +11,40 @@
 from badgeryoke.gateway.cluster.settings import Servers
 
 REMOVAL_CHECK_INTERVAL_MS = 5000.0
-# A limit is removed when its server was on no list here, and under no lease, for so long.
-REMOVAL_DELAY_MS = 60_000.0
-MAX_REMOVALS = 64  # at one check
+REMOVAL_DELAY_MS = (
+    60_000.0  # after which the limit of a server that is unlisted here and has no leases is removed
+)
+MAX_REMOVALS = 64  # per check
 
 
 class ServerLimits:
-    """The most connections to each server.
+    """The maximum number of connections to each server.
 
-    `listed_limits` holds the servers that the operators' file names, and those on discovery's list that the default
-    limit is for.
+    `listed_limits` has the servers that the operators' file names, and those on discovery's list that the default limit
+    applies to.
     """
 
     def __init__(self, settings: Servers) -> None:
         self._named_limits = dict(settings.limits)
-        self._default_limit = settings.connections  # 0: none
+        self._default_limit = settings.connections  # 0: no limit
         self.listed_limits = self._named_limits
         self._has_list = False
         self._next_removal_check_ms = 0.0
-        self._unlisted_since_ms: dict[str, float] = {}  # limits of groups led here
+        self._unlisted_since_ms: dict[str, float] = {}  # by server, for the limits of groups led here
 
     def limit(self, server: str) -> int:
-        """Of a server, by discovery's name; 0 where none is kept."""
+        """The limit of a server, by its name in discovery; 0 if it has none."""
         return self._named_limits.get(server, self._default_limit)
 
     def update(self, servers: Iterable[str]) -> None:
-        """Take discovery's list, by its names."""
+        """Take discovery's list of server names."""
         self._has_list = True
         listed = {server: limit for server in servers if (limit := self.limit(server))}
         self.listed_limits = {**self._named_limits, **listed}
 
     def missing_limits(self, holder: ConnectionLeaseHolder, now_ms: float, idle_ms: float) -> list[Command]:
-        """State the limits that a lease was asked for in vain: the leader of their group has no list that names
-        their servers."""
+        """Commands that set the limits whose absence made a lease request fail: the group's leader does not have the
+        server on its list."""
         commands: list[Command] = [
             SetConnectionLimit(
                 id=f"limit/{holder.holder}/{server}/{now_ms:.0f}",
@@ -58,10 +59,10 @@
         return commands
 
     def stale_limits(self, node: ClusterNode, now_ms: float) -> list[Command]:
-        """Remove limits, in groups led here, of servers that were off this gateway's list for long and that nobody
-        uses.
+        """Commands that remove limits, in groups led here, of servers that have been off this gateway's list for
+        `REMOVAL_DELAY_MS` and have no leases.
 
-        A gateway whose list still names one, and that wants it, finds that no limit is known and states it again.
+        If another gateway still lists such a server and needs a lease, it sets the limit again (`missing_limits`).
         """
         if now_ms < self._next_removal_check_ms or not self._has_list:
             return []
@@ -76,7 +77,7 @@
         return commands
 
     def _unlisted_servers(self, node: ClusterNode) -> Iterable[tuple[str, int]]:
-        """Servers without leases that no list here names, and the index of their group's state."""
+        """Servers without leases that are not listed here, each with the index of its group's state."""
         for group, state in node.state_machines.items():
             if group == FLEET or not node.replicas[group].leading:
                 continue
--- a/badgeryoke/gateway/cluster/service.py
+++ b/badgeryoke/gateway/cluster/service.py
@@ -1,7 +1,7 @@
-"""This gateway's membership in the cluster: its start, calls, status and end.
+"""This gateway's membership in the cluster: its start, calls, status and shutdown.
 
-The membership may end before the gateway does: a storage that fails, or an invariant of the code that does not hold,
-stops it with an error that calls and `status` report; requests go on.
+The member may stop before the gateway does: a storage that cannot be opened, an exception, or a broken invariant stops
+it with an error that calls and `status` report.  The gateway keeps serving requests.
 """
 
 from __future__ import annotations
@@ -41,17 +41,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_CALLS = 1024  # at this member; more are rejected
-LEAVE_TIMEOUT_S = 1.0  # for the node to hand its groups over at a graceful shutdown
-CLOSE_TIMEOUT_S = 0.5  # for the storage's last transaction
-CALL_TIMEOUT_FACTOR = 2.0  # of `call_ms`, within which the node completes a call
+MAX_PENDING_CALLS = 1024  # of this member; further calls are rejected
+LEAVE_TIMEOUT_S = 1.0  # for the node to transfer the leadership of its groups at a graceful shutdown
+CLOSE_TIMEOUT_S = 0.5  # for the last transaction of the storage
+CALL_TIMEOUT_FACTOR = 2.0  # times `call_ms`, within which the node completes a call
 
 
 class ClusterService:
     """One member of the cluster.
 
-    Before `start`, `connection_leases` and `on_reservation_client` may be set.  The latter is called with the client
-    for this gateway's reservations and its clock, ms, when the node is made.
+    `connection_leases` and `on_reservation_client` may be set before `start`.  `on_reservation_client` is called when
+    the node is made, with the client for this gateway's reservations and its clock, ms.
     """
 
     def __init__(
@@ -65,10 +65,10 @@
         self.settings = settings
         self.member = settings.me or gateway_name
         self.clock = ClusterClock(monotonic_ms, unix_time_s)
-        self.connection_leases: ConnectionLeases | None = None  # where servers' connections are limited
+        self.connection_leases: ConnectionLeases | None = None  # of this gateway's upstream connections
         self.reservation_client: ReservationClient | None = None
         self.on_reservation_client: Callable[[ReservationClient, Callable[[], float]], None] | None = None
-        self.failure: ClusterError | None = None  # why this member has stopped
+        self.failure: ClusterError | None = None  # the reason why this member has stopped
         self.storage_failure: ClusterError | None = None
         self.running: RunningMember | None = None
         self._node_factory: NodeFactory = node_factory or ClusterNode
@@ -81,27 +81,27 @@
 
     @property
     def node(self) -> Node | None:
-        """The node, from when the member runs."""
+        """The node; None before it is made."""
         return self.running.node if self.running is not None else None
 
     @property
     def pending_call_count(self) -> int:
-        """Calls without an answer."""
+        """Calls without a result."""
         return len(self._calls)
 
     # Start.
 
     def start(self) -> None:
-        """Open the storage, listen, and run; all of it beside the gateway's own start.
+        """Open the storage, listen, and run, in a task beside the gateway's own start.
 
-        The task is not cancelled by `close`, after which it ends by itself: what it has opened has to be closed.
+        `close` does not cancel the task: it ends by itself, since it has to close what it has opened.
         """
         self._start_task = self._loop.create_task(self._start())
 
     async def _start(self) -> None:
         try:
             await self._open_and_run()
-        except Exception:  # whatever it is, the gateway goes on without the cluster
+        except Exception:  # of any kind: the gateway runs on without the cluster
             log.exception("cluster member could not start")
             self._fail(InvariantBroken(self.member, "it could not begin; the log has the cause"))
 
@@ -113,7 +113,7 @@
             try:
                 await self._run(opened)
             finally:
-                if self.running is None:  # which else closes it
+                if self.running is None:  # a RunningMember closes its storage itself
                     opened.close()
 
     def _is_closed(self) -> bool:
@@ -152,7 +152,7 @@
         log.error("%s", error)
 
     def _fail(self, error: ClusterError) -> None:
-        """This member promises nothing more and says so; to the others it is as dead."""
+        """Stop this member: calls return the error from now on, and the other members see it as failed."""
         if self.failure is not None:
             return
         self.failure = error
@@ -164,7 +164,7 @@
     # Calls and status.
 
     async def call(self, command: Command) -> ApplyResult | ClusterError:
-        """Bring a command to the group that holds its key; returns within twice `call_ms`."""
+        """Send a command to the group of its key; returns within twice `call_ms`."""
         if self.failure is not None:
             return self.failure
         if self.running is None or self.node is None or self._closed:
@@ -185,7 +185,7 @@
         return ApplyResult(result)
 
     async def answer(self, line: bytes) -> bytes:
-        """The operators' FLEET call: the rest of its line, and the line that answers it."""
+        """Answer an operator's FLEET call: takes the rest of its line, returns the answer line."""
         match parse_call(line):
             case Command() as command:
                 return format_answer(await self.call(command))
@@ -195,7 +195,7 @@
                 return format_answer(invalid)
 
     def status(self) -> dict[str, Any]:
-        """For operators: JSON values, which the node and its parts add to."""
+        """For operators; JSON values, with those of the node and its parts."""
         status: dict[str, Any] = {"me": self.member, "groups": {}}
         if self.node is not None and self.failure is None:
             status |= self.node.status()
@@ -216,10 +216,10 @@
             "contracts": reservations.status(self.clock.monotonic_ms()) if reservations is not None else {},
         }
 
-    # End.
+    # Shutdown.
 
     async def leave(self) -> None:
-        """Hand the groups over before a graceful shutdown; calls are answered until `close`."""
+        """Transfer the leadership of groups before a graceful shutdown; calls are answered until `close`."""
         if self._leave_task is None:
             self._leave_task = self._loop.create_task(self._leave())
         await asyncio.shield(self._leave_task)
@@ -237,7 +237,7 @@
             log.warning("not all groups were handed over within %g s", LEAVE_TIMEOUT_S)
 
     def close(self) -> None:
-        """Stop at once: nothing more is sent, received or written; further calls do nothing."""
+        """Stop sending and receiving, write what was submitted, and close the storage; further calls do nothing."""
         if self._closed:
             return
         self._closed = True
--- a/badgeryoke/gateway/cluster/settings.py
+++ b/badgeryoke/gateway/cluster/settings.py
@@ -1,6 +1,6 @@
-"""The [fleet] section of the operators' file: checked into typed values, every fault named by its key.
+"""The [fleet] section of the operators' file: conversion to typed values, and a message with its key for each fault.
 
-Fields are named as the keys of the file, which are an interface.
+The field names are the keys of the file, which are a public interface.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 import msgspec
 
 from badgeryoke.cluster.timings import Timings
-from badgeryoke.cluster.timings import find_problems as timing_faults
+from badgeryoke.cluster.timings import find_problems as find_timing_problems
 from badgeryoke.gateway.address import parse_address
 from badgeryoke.gateway.struct_validation import malformed_values, unknown_keys
 
 MAX_MEMBERS = 256
 MAX_GROUPS = 256
 MAX_CONNECTIONS = 65_535  # to one server
-REPLICA_COUNTS = (3, 5, 1)  # 1: to try it out; what is acknowledged then outlives no machine
+REPLICA_COUNTS = (3, 5, 1)  # 1 is for trials: acknowledged writes are lost with the one machine
 _NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,47}")
-_NAME_FORM = "expected 1 to 48 letters, digits, '.', '_' or '-'"
+_NAME_RULE = "expected 1 to 48 letters, digits, '.', '_' or '-'"
 _GROUP_PATTERN = re.compile(r"fleet|g\d{1,3}")
 
 
@@ -32,37 +32,37 @@
 
     name: str
     hall: str  # zone
-    address: str  # IP:PORT of the cluster's own connections; the own one is listened on
+    address: str  # IP:PORT for connections between members; this gateway listens on its own
 
 
 class Servers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The most connections that a load server holds, over all gateways; 0: no limit is kept."""
+    """The maximum number of connections to a server, over all gateways; 0: unlimited."""
 
-    connections: int = 0  # of each server that `limits` does not name
+    connections: int = 0  # for each server that `limits` does not name
     limits: dict[str, int] = msgspec.field(default_factory=dict)
 
 
 class ClusterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The whole section."""
+    """The [fleet] section."""
 
     enabled: bool = False
     name: str = ""
-    me: str = ""  # the own member's name; LB_NAME where it is empty
-    folder: str = ""  # this member's own, on a disk that keeps what it has synced
+    me: str = ""  # this member's name; LB_NAME if empty
+    folder: str = ""  # used by this member alone, on a disk that keeps synced writes
     copies: int = 3  # replicas of each group
     groups: int = 8
     members: tuple[MemberEntry, ...] = ()
     timings: Timings = Timings()
-    capacity: float = 0.0  # units/s that all reservations may take; 0: none can be made
+    capacity: float = 0.0  # units/s for all reservations together; 0: no reservation can be made
     servers: Servers = msgspec.field(default_factory=Servers)
-    fsync: bool = True  # false: a crash of the machine may lose what was acknowledged
-    # The one act by hand, for a group whose majority is lost for good: the Ids (name/incarnation) given up, by group.
+    fsync: bool = True  # false: a crash of the machine may lose acknowledged writes
+    # Forced recovery of groups that lost their majority for good: the lost members (name/incarnation), by group.
     forced: dict[str, tuple[str, ...]] = msgspec.field(default_factory=dict)
 
 
 def read_cluster_settings(section: dict[str, Any]) -> tuple[ClusterSettings | None, list[str]]:
-    """The section as parsed from TOML, checked; and its faults, each with its key.  None where a value cannot be
-    converted."""
+    """Check and convert the section as parsed from TOML.  Returns the settings, None if a value cannot be converted, and
+    the faults, each with its key."""
     faults = _form_faults(section)
     if faults:
         return None, faults
@@ -74,7 +74,7 @@
 
 
 def _form_faults(section: dict[str, Any]) -> list[str]:
-    """Unknown and missing keys, and values of another type."""
+    """Unknown and missing keys, and values of the wrong type."""
     without_members = {**section, "members": []}
     faults = unknown_keys(without_members, ClusterSettings, "fleet.")
     faults += malformed_values(without_members, ClusterSettings, "fleet.")
@@ -89,12 +89,12 @@
 
 
 def _value_faults(settings: ClusterSettings) -> list[str]:
-    """What values of the right type have wrong."""
+    """Faults of values that have the right type."""
     faults = [
         *_scalar_faults(settings),
         *_member_faults(settings.members),
         *_own_name_faults(settings),
-        *(f"fleet.timings.{fault}" for fault in timing_faults(settings.timings)),
+        *(f"fleet.timings.{fault}" for fault in find_timing_problems(settings.timings)),
         *_connection_limit_faults(settings.servers),
         *_forced_group_faults(settings.forced),
     ]
@@ -105,7 +105,7 @@
 
 def _scalar_faults(settings: ClusterSettings) -> Iterable[str]:
     if not _NAME_PATTERN.fullmatch(settings.name):
-        yield f"fleet.name: {_NAME_FORM}, got {settings.name!r}"
+        yield f"fleet.name: {_NAME_RULE}, got {settings.name!r}"
     if not settings.folder:
         yield "fleet.folder: missing: the folder in which this member keeps its copies"
     if settings.copies not in REPLICA_COUNTS:
@@ -127,7 +127,7 @@
         path = f"fleet.members[{position}]"
         for key, name in (("name", member.name), ("hall", member.hall)):
             if not _NAME_PATTERN.fullmatch(name):
-                yield f"{path}.{key}: {_NAME_FORM}, got {name!r}"
+                yield f"{path}.{key}: {_NAME_RULE}, got {name!r}"
         if name_counts[member.name] > 1:
             yield f"{path}.name: {member.name!r} stands twice"
         if address_counts[member.address] > 1:
@@ -145,7 +145,7 @@
 
 def _connection_limit_faults(servers: Servers) -> Iterable[str]:
     for key, limit in (("connections", servers.connections), *servers.limits.items()):
-        is_default = key == "connections"  # so is a server of that very name
+        is_default = key == "connections"  # also true of a server that is named "connections"
         min_limit = 0 if is_default else 1
         if not min_limit <= limit <= MAX_CONNECTIONS:
             path = key if is_default else f"limits.{key}"
--- a/badgeryoke/gateway/cluster/startup.py
+++ b/badgeryoke/gateway/cluster/startup.py
@@ -1,4 +1,4 @@
-"""What a member needs before its node is made: storage, listening sockets, and the node's setup."""
+"""Prepares what a member needs before its node is made: storage, listening sockets, and the node's setup."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.2  # for a directory or an address that the process before still holds
+RETRY_INTERVAL_S = 0.2  # while the previous process still holds the directory or the address
 LISTEN_BACKLOG = 128
 
 
 def node_setup(settings: ClusterSettings, gateway_name: str, incarnation: str) -> NodeSetup:
-    """The settings in the form in which a node takes them."""
+    """Convert the settings to the node's setup."""
     connection_limits = dict(settings.servers.limits)
     if settings.servers.connections:
         connection_limits[ANY_SERVER] = settings.servers.connections
@@ -44,29 +44,29 @@
 
 
 async def open_storage_when_free(
-    settings: ClusterSettings, member: str, closed: Callable[[], bool]
+    settings: ClusterSettings, member: str, is_closed: Callable[[], bool]
 ) -> ClusterStorage | ClusterError | None:
-    """Open the member's storage as soon as no other process holds it; None where `closed` comes first."""
+    """Open the member's storage once no other process holds it; None if `is_closed` turns true first."""
     logged = False
-    while not closed():
+    while not is_closed():
         opened = await asyncio.to_thread(
             open_storage, Path(settings.folder), settings.name, member, settings.fsync
         )
         if not isinstance(opened, StorageLocked):
             return opened
-        if not logged:  # mostly the process that this one replaces
+        if not logged:  # usually held by the process that this one replaces
             log.warning("%s; retrying until it is free", opened.error)
         logged = True
         await asyncio.sleep(RETRY_INTERVAL_S)
     return None
 
 
-async def listen_when_free(address: str, closed: Callable[[], bool]) -> list[socket.socket]:
-    """Listen on an address, IP:PORT, as soon as it is free; no sockets where `closed` comes first."""
+async def listen_when_free(address: str, is_closed: Callable[[], bool]) -> list[socket.socket]:
+    """Listen on an address, IP:PORT, once it is free; no sockets if `is_closed` turns true first."""
     host, port = parse_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     logged = False
-    while not closed():
+    while not is_closed():
         try:
             return bind_sockets(port, host, family, LISTEN_BACKLOG)
         except OSError as fault:
@@ -85,9 +85,9 @@
 def force_groups(
     settings: ClusterSettings, storage: ClusterStorage, member_id: MemberId, unix_ms: Callable[[], float]
 ) -> None:
-    """[fleet.forced]: groups that have lost their majority for good go on from this copy alone.
+    """Apply [fleet.forced]: groups that lost their majority for good continue from this member's replica alone.
 
-    Raises sqlite3.Error, OSError or DamagedRecord where that cannot be written.
+    Raises sqlite3.Error, OSError or DamagedRecord if the change cannot be written.
     """
     for group, lost_members in settings.forced.items():
         _force_group(storage, group, lost_members, member_id, unix_ms)
--- a/badgeryoke/gateway/cluster/upstream_lease.py
+++ b/badgeryoke/gateway/cluster/upstream_lease.py
@@ -1,6 +1,6 @@
-"""One upstream's connections under a lease of the cluster.
+"""The connections of one upstream under a cluster lease.
 
-An upstream asks its lease before it dials and before each use of a connection.  A connection counts from before its
+An upstream checks its lease before it dials and before each use of a connection.  A connection counts from before its
 first packet until the server has closed its side as well.
 """
 
@@ -18,34 +18,34 @@
 
 
 class LeasedUpstream(Protocol):
-    """An upstream under a lease.  All but `connections_needed` leave a message for its actor."""
+    """An upstream under a lease.  All methods but `connections_needed` post a message to its mailbox."""
 
     @property
     def connections_needed(self) -> int:
-        """Connections in use, and one for each attempt that waits."""
+        """Connections in use, plus one for each waiting attempt."""
 
     def close_connections(self, count: int, include_in_use: bool) -> None:
-        """Close so many connections: idle ones, and with `include_in_use`, as the lease ends, also others."""
+        """Close `count` connections: idle ones, and also others with `include_in_use`, when the lease expires."""
 
     def capacity_available(self) -> None:
-        """More connections may be open than before."""
+        """Called when more connections may be opened than before."""
 
 
 class LeaseOwner(Protocol):
-    """What a lease is part of: `badgeryoke.gateway.cluster.connection_leases.ConnectionLeases`."""
+    """The owner of a lease: `badgeryoke.gateway.cluster.connection_leases.ConnectionLeases`."""
 
     monotonic_ms: Callable[[], float]
 
     @property
     def lease_holder(self) -> ConnectionLeaseHolder | None:
-        """This gateway's leases; none before the cluster's node runs."""
+        """This gateway's leases; None before the cluster's node runs."""
 
     def close_socket(self, lease: UpstreamLease, connection: socket.socket) -> None:
-        """Close this side; the connection counts until the server has closed its own."""
+        """Close this side; the connection counts until the server has closed its side."""
 
 
 class LeasedStream(IOStream):
-    """A stream that hands its socket over to its lease, from whatever cause it is closed."""
+    """A stream that passes its socket to its lease when it is closed for any reason."""
 
     def __init__(self, connection: socket.socket, max_buffer_bytes: int, lease: UpstreamLease) -> None:
         super().__init__(connection, max_buffer_size=max_buffer_bytes)
@@ -58,17 +58,17 @@
 
 
 class UpstreamLease:
-    """The connections of one upstream."""
+    """The lease for the connections of one upstream."""
 
     def __init__(self, owner: LeaseOwner, server: str) -> None:
         self._owner, self.server = owner, server
         self.upstream: LeasedUpstream | None = None
-        self.open_count = 0  # with those that the server has not closed yet
-        self.surplus_count = 0  # connections in use that are closed when they become free
-        self.retired = False  # the upstream is no more; what it has open still counts
+        self.open_count = 0  # including those that the server has not closed yet
+        self.surplus_count = 0  # connections in use that have to be closed once they are free
+        self.retired = False  # the upstream is removed; its open connections still count
 
     def is_held(self) -> bool:
-        """Whether connections may be used now."""
+        """Whether the lease is valid, so that connections may be used now."""
         holder = self._owner.lease_holder
         return holder is not None and holder.lease_valid(self._owner.monotonic_ms(), self.server)
 
@@ -84,7 +84,7 @@
     def dial(
         self, address: tuple[str, int], max_buffer_bytes: int
     ) -> tuple[IOStream, asyncio.Future[IOStream]]:
-        """As `badgeryoke.gateway.connecting.dial`, where `may_open` was true.  Raises OSError."""
+        """Like `badgeryoke.gateway.connecting.dial`; `may_open` must be true.  Raises OSError."""
         holder = self._owner.lease_holder
         assert holder is not None
         stream: IOStream = LeasedStream(new_socket(address), max_buffer_bytes, self)
@@ -93,7 +93,7 @@
         return stream, stream.connect(address)
 
     def close_socket(self, connection: socket.socket) -> None:
-        """Close this side; the connection counts until the server has closed its own."""
+        """Close this side; the connection counts until the server has closed its side."""
         holder = self._owner.lease_holder
         assert holder is not None
         holder.closing(self.server)
