--- a/badgeryoke/gateway/cluster/storage/acknowledged_counter.py
+++ b/badgeryoke/gateway/cluster/storage/acknowledged_counter.py
@@ -1,7 +1,7 @@
 """The number of the last acknowledged transaction, in a small file beside the database.
 
-It is written after each commit and not synced: exact after a process has died, perhaps older after the machine has.
-A number above that of the database shows that acknowledged transactions are gone.
+The file is written after each commit and not synced: it is exact after a crash of the process, and may be older after
+a crash of the machine.  A number above that of the database shows that acknowledged transactions are lost.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from badgeryoke.gateway.cluster.storage.format import ACKNOWLEDGED_FILE, DamagedRecord
 
 _NUMBER_BYTES = 8
-_RECORD = struct.Struct(">QI")  # the number, CRC-32 of its bytes
+_RECORD = struct.Struct(">QI")  # the number, and the CRC-32 of its bytes
 _FILE_MODE = 0o600
 
 
 class AcknowledgedCounter:
-    """The open file; a context manager that closes it."""
+    """The open counter file; as a context manager, it closes the file."""
 
     def __init__(self, descriptor: int) -> None:
         self._descriptor = descriptor
 
     @classmethod
     def open(cls, directory: Path) -> AcknowledgedCounter:
-        """Open the file of a store, made empty where there is none.  Raises OSError."""
+        """Open the file of a store, or create an empty one.  Raises OSError."""
         return cls(os.open(directory / ACKNOWLEDGED_FILE, os.O_RDWR | os.O_CREAT, _FILE_MODE))
 
     @classmethod
     def create(cls, directory: Path) -> None:
-        """Write and sync the file of a store without transactions.  Raises OSError."""
+        """Create and sync the file of a new store, with the number 0.  Raises OSError."""
         flags = os.O_RDWR | os.O_CREAT | os.O_TRUNC
         with cls(os.open(directory / ACKNOWLEDGED_FILE, flags, _FILE_MODE)) as counter:
             counter.write(0)
@@ -39,7 +39,7 @@
 
     @classmethod
     def open_existing(cls, directory: Path) -> AcknowledgedCounter:
-        """Open the file for reading alone.  Raises FileNotFoundError where there is none, or OSError."""
+        """Open the file read-only.  Raises OSError, FileNotFoundError if there is none."""
         return cls(os.open(directory / ACKNOWLEDGED_FILE, os.O_RDONLY | os.O_CLOEXEC))
 
     def write(self, transaction_number: int) -> None:
@@ -55,7 +55,7 @@
         return int(_RECORD.unpack(raw)[0])
 
     def close(self) -> None:
-        """Close the file; a second call would close a descriptor that is no longer its own."""
+        """Close the file.  Must be called only once: the descriptor may be reused afterwards."""
         os.close(self._descriptor)
 
     def __enter__(self) -> AcknowledgedCounter:
--- a/badgeryoke/gateway/cluster/storage/format.py
+++ b/badgeryoke/gateway/cluster/storage/format.py
@@ -1,8 +1,8 @@
-"""The stored format: file names, SQLite schema, and the checksums that detect every change of one bit.
+"""The stored format: file names, SQLite schema, and the checksums that detect any flipped bit.
 
-Each record has a CRC-32.  The entries of a group are chained by index: the checksum of an entry continues that of
-the entry before.  Each group's row holds where its log ends and the checksum it ends on, and the store's own row
-holds the combined checksum of all groups' rows, so that a missing row shows as well.
+Each record has a CRC-32.  The entries of a group are chained by index: the checksum of an entry continues that of the
+previous entry.  The row of a group has the index and the checksum of its last entry.  The row of the store has the
+combined checksum of all group rows, so that a missing row is detected as well.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 FORMAT_VERSION = 1
 DATABASE_FILE = f"store-{FORMAT_VERSION}.db"
-DATABASE_PATTERN = "store-*.db"  # of every format version
+DATABASE_PATTERN = "store-*.db"  # matches every format version
 WAL_FILE = f"{DATABASE_FILE}-wal"
 WAL_INDEX_FILE = f"{DATABASE_FILE}-shm"
 ACKNOWLEDGED_FILE = "told"
 LOCK_FILE = "lock"
-NEW_DATABASE_FILE = "new.db"  # a store that is not complete yet
+NEW_DATABASE_FILE = "new.db"  # a new store before it is complete
 
-# `part` has a row for each group, `shot` holds its snapshot and `entry` its log.
+# `part` has a row for each group, `shot` its snapshot, and `entry` the entries of its log.
 SCHEMA = """
 CREATE TABLE store (one INTEGER PRIMARY KEY, fleet TEXT, member TEXT, incarnation TEXT, step INTEGER, whole INTEGER,
                     sum INTEGER);
@@ -36,7 +36,7 @@
 
 
 class DamagedRecord(Exception):
-    """The storage does not read as it was written, or a record does not fit what is stored."""
+    """Stored data does not match its checksums, or a new record does not fit the stored ones."""
 
 
 def checksum(*fields: object, previous: int = 0) -> int:
@@ -45,7 +45,7 @@
 
 
 def entry_checksum(entry: LogEntry, previous: int) -> int:
-    """CRC-32 of an entry, continued from that of the entry before it in the log."""
+    """CRC-32 of an entry, continued from that of the previous entry in the log."""
     return zlib.crc32(entry.body, checksum(entry.index, entry.term, entry.kind, previous=previous))
 
 
@@ -56,12 +56,12 @@
 
 @dataclass(slots=True)
 class GroupRow:
-    """The row of one Raft group, in the order of the table's columns."""
+    """The row of one Raft group; the fields are in the order of the columns."""
 
     term: int = 0
     vote: str = ""
-    snapshot_index: int = 0  # 0 without a snapshot
-    chain_start_checksum: int = 0  # on which the chain of entries behind the snapshot begins
+    snapshot_index: int = 0  # 0 if there is no snapshot
+    chain_start_checksum: int = 0  # from which the first entry after the snapshot continues
     last_index: int = 0
     last_checksum: int = 0
     snapshot_checksum: int = 0
@@ -80,22 +80,22 @@
         )
 
     def expected_checksum(self, group: str) -> int:
-        """CRC-32 of the row as it stands."""
+        """CRC-32 of the row's current values."""
         return checksum(group, *self.columns())
 
 
 @dataclass(slots=True)
 class StoreRow:
-    """The store's own row: whose it is, and what all groups' rows come to."""
+    """The row of the store: its owner, its last transaction, and the combined checksum of all group rows."""
 
     cluster: str
     member: str
     incarnation: str
     transaction_number: int = 0
-    groups_checksum: int = 0  # exclusive or of all groups' row checksums
+    groups_checksum: int = 0  # exclusive or of the checksums of all group rows
 
     def columns(self) -> tuple[str, str, str, int, int, int]:
-        """All columns, the checksum of the others last."""
+        """All columns; the last is the checksum of the others."""
         fields = (
             self.cluster,
             self.member,
--- a/badgeryoke/gateway/cluster/storage/opening.py
+++ b/badgeryoke/gateway/cluster/storage/opening.py
@@ -1,4 +1,4 @@
-"""Opening a member's store: the lock on its directory, a new store where there is none, a damaged one set aside."""
+"""Opening a member's store: locks its directory, creates a missing store, and sets a damaged one aside."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from badgeryoke.gateway.cluster.storage.store import ClusterStorage
 from badgeryoke.gateway.cluster.storage.verification import read_stored_state
 
-MAX_DAMAGED_STORES = 4  # kept aside; beyond it the oldest is removed
-OPEN_ATTEMPTS = 2  # the second is of a new store, where the first was damaged
+MAX_DAMAGED_STORES = 4  # that are kept; the oldest is removed beyond this number
+OPEN_ATTEMPTS = 2  # the second opens the new store that replaces a damaged one
 SQLITE_CACHE_KIB = 1024
 INCARNATION_BYTES = 4
 _DIRECTORY_MODE, _LOCK_MODE = 0o700, 0o600
-_PRIMARY_ERROR_MASK = 0xFF  # of SQLite's extended error codes
+_PRIMARY_ERROR_MASK = 0xFF  # selects the primary code of an extended SQLite error code
 _DISK_ERRORS = (
     sqlite3.SQLITE_FULL,
     sqlite3.SQLITE_IOERR,
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StorageLocked:
-    """Another process holds the lock on the directory: an error that may pass by itself."""
+    """Another process holds the lock on the directory; retrying may succeed."""
 
     error: StorageFailed
 
@@ -63,11 +63,11 @@
     fsync: bool = True,
     new_incarnation: Callable[[], str] = _new_incarnation,
 ) -> ClusterStorage | StorageLocked | ClusterError:
-    """The member's store, made where there is none, and made anew beside a damaged one (`ClusterStorage.faults`
-    holds what was found).
+    """Open the member's store.  A missing store is created; a damaged one is set aside and replaced by a new one
+    (`ClusterStorage.faults` lists the damage).
 
-    StorageFailed: the directory cannot be used.  StorageLocked: another process holds it.  ClusterMismatch: it belongs
-    to another member or cluster.
+    Returns StorageFailed if the directory cannot be used, StorageLocked if another process holds it, and
+    ClusterMismatch if it belongs to another member or cluster.
     """
     try:
         directory.mkdir(_DIRECTORY_MODE, parents=True, exist_ok=True)
@@ -84,7 +84,7 @@
 
 
 def _open_locked(opening: _Opening) -> ClusterStorage | StorageLocked | ClusterError:
-    """Take the lock, and open the store under it."""
+    """Lock the directory, and open the store in it."""
     directory, member = opening.directory, opening.member
     try:
         fcntl.flock(opening.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -102,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Opening:
-    """One call of `open_storage`, under the directory's lock."""
+    """One call of `open_storage`, while the directory is locked."""
 
     directory: Path
     cluster: str
@@ -113,7 +113,7 @@
     faults: list[ClusterError] = field(default_factory=list)
 
     def attempt(self) -> ClusterStorage | ClusterError | None:
-        """Open the store.  None: it was damaged and is set aside now.  Raises OSError or sqlite3.Error."""
+        """Open the store; None if it was damaged and has been set aside.  Raises OSError or sqlite3.Error."""
         if other := self._store_of_another_format():
             return StorageFailed(
                 self.member, f"{self.directory}: holds {other}, this program knows {DATABASE_FILE}"
@@ -130,7 +130,7 @@
                     self.member,
                     f"{self.directory} belongs to member {storage.member!r} of fleet {storage.cluster!r}",
                 )
-            resources.pop_all()  # the storage's own from here on
+            resources.pop_all()  # owned by the storage from now on
             return storage
 
     def _read_or_set_aside(self, resources: contextlib.ExitStack) -> ClusterStorage | None:
@@ -142,11 +142,11 @@
             sqlite3.DatabaseError,
             msgspec.DecodeError,
             UnicodeDecodeError,
-            TypeError,  # a column of another type than was written
+            TypeError,  # a column has another type than was written
         ) as fault:
             if isinstance(fault, sqlite3.OperationalError) and _is_disk_error(fault):
                 raise
-            # Before the database is closed: closing would checkpoint the write-ahead log and remove it.
+            # Done before the database is closed, since closing would checkpoint and remove the write-ahead log.
             set_aside = _set_damaged_store_aside(self.directory)
             self.faults.append(StorageDamaged(self.member, f"{fault}; kept in {set_aside}"))
             return None
@@ -170,7 +170,7 @@
         return min((name for name in names if name != DATABASE_FILE), default=None)
 
     def _note_missing_store(self) -> None:
-        """A database that is gone, where its counter says that transactions were acknowledged in it."""
+        """Report a missing database whose counter file shows that it had acknowledged transactions."""
         path = self.directory / DATABASE_FILE
         with (
             contextlib.suppress(FileNotFoundError, DamagedRecord),
@@ -195,17 +195,17 @@
 
 
 def _close_quietly(database: sqlite3.Connection) -> None:
-    with contextlib.suppress(sqlite3.Error):  # what does not read may not close either
+    with contextlib.suppress(sqlite3.Error):  # closing a damaged database may fail as well
         database.close()
 
 
 def _is_disk_error(fault: sqlite3.OperationalError) -> bool:
-    """Whether the disk fails, and not what is stored on it."""
+    """Whether the disk has failed, rather than the data on it being damaged."""
     return getattr(fault, "sqlite_errorcode", 0) & _PRIMARY_ERROR_MASK in _DISK_ERRORS
 
 
 def _create_store(directory: Path, row: StoreRow) -> None:
-    """Put a new store in place: it is completed under another name, then renamed.  Raises OSError or
+    """Create a store under a temporary name, and rename it once it is complete.  Raises OSError or
     sqlite3.Error."""
     new_database = directory / NEW_DATABASE_FILE
     leftovers = (
@@ -227,7 +227,7 @@
 
 
 def _set_damaged_store_aside(directory: Path) -> Path:
-    """Move the files of a damaged store into a directory of their own, and give its path.  Raises OSError."""
+    """Move the files of a damaged store into a directory of their own; returns its path.  Raises OSError."""
     damaged_stores = sorted(directory.glob("damaged-*"))
     for oldest in damaged_stores[: max(len(damaged_stores) - MAX_DAMAGED_STORES + 1, 0)]:
         for file in oldest.iterdir():
--- a/badgeryoke/gateway/cluster/storage/store.py
+++ b/badgeryoke/gateway/cluster/storage/store.py
@@ -1,4 +1,4 @@
-"""An open store: one transaction and one fsync for whatever many Raft groups ask to persist at once."""
+"""An open store, which writes the records of many Raft groups in one transaction with one fsync."""
 
 from __future__ import annotations
 
@@ -32,16 +32,16 @@
     snapshot_checksum,
 )
 
-_CLOSED = -1  # in place of the lock's descriptor
+_CLOSED = -1  # value of `_lock_descriptor` after `close`
 
 
 @dataclass(slots=True)
 class ClusterStorage:
-    """An open store; every call waits for the disk.  Made by `open_storage`."""
+    """An open store, made by `open_storage`; `write` and `close` block on the disk."""
 
     directory: Path
-    persisted_groups: dict[str, PersistedGroup]  # as read at the opening
-    faults: list[ClusterError]  # found at the opening, for the operators
+    persisted_groups: dict[str, PersistedGroup]  # as read when the store was opened
+    faults: list[ClusterError]  # found when the store was opened, to be reported to operators
     _row: StoreRow
     _group_rows: dict[str, GroupRow]
     _database: sqlite3.Connection
@@ -50,7 +50,7 @@
 
     @property
     def group_count(self) -> int:
-        """Raft groups of which something is stored."""
+        """The number of Raft groups in the store."""
         return len(self._group_rows)
 
     @property
@@ -65,15 +65,15 @@
 
     @property
     def incarnation(self) -> str:
-        """A new one for each store that was made empty."""
+        """The member's incarnation; each new store has a new one."""
         return self._row.incarnation
 
     def write(self, requests: Sequence[PersistRecords]) -> None:
-        """Write all records in one transaction, on stable storage when this returns.
+        """Write all records in one transaction, which is on stable storage when this returns.
 
-        Raises sqlite3.Error, OSError or DamagedRecord; nothing may be written after that.
+        Raises sqlite3.Error, OSError or DamagedRecord; the store must not be written to after an error.
         """
-        touched_groups = dict[str, None]()  # in the order first touched
+        touched_groups = dict[str, None]()  # in the order of their first record
         self._database.execute("BEGIN IMMEDIATE")
         for request in requests:
             for record in request.records:
@@ -132,7 +132,7 @@
         )
 
     def _truncate_log_before(self, group: str, row: GroupRow, snapshot: Snapshot) -> None:
-        """The log behind a snapshot stays only where it holds the entry that the snapshot ends with."""
+        """Delete the entries up to a snapshot, and later ones too unless the log contains the snapshot's last entry."""
         key = group, snapshot.last_included_index
         entry = self._database.execute(
             "SELECT term, sum FROM entry WHERE grp = ? AND idx = ?", key
@@ -145,14 +145,14 @@
         if entry is not None and entry[0] == snapshot.last_included_term:
             self._database.execute("DELETE FROM entry WHERE grp = ? AND idx <= ?", key)
             row.chain_start_checksum = entry[1]
-        elif not self._holds_snapshot(group, snapshot):
+        elif not self._has_equal_snapshot(group, snapshot):
             self._database.execute("DELETE FROM entry WHERE grp = ?", (group,))
             row.last_index = snapshot.last_included_index
             row.last_checksum = checksum(snapshot.last_included_index, snapshot.last_included_term)
             row.chain_start_checksum = row.last_checksum
 
-    def _holds_snapshot(self, group: str, snapshot: Snapshot) -> bool:
-        """Whether the stored snapshot ends with the same entry."""
+    def _has_equal_snapshot(self, group: str, snapshot: Snapshot) -> bool:
+        """Whether the stored snapshot ends with the same entry as `snapshot`."""
         query = "SELECT term FROM shot WHERE grp = ? AND idx = ?"
         found: object = self._database.execute(query, (group, snapshot.last_included_index)).fetchone()
         return found == (snapshot.last_included_term,)
@@ -177,7 +177,7 @@
         row.last_index, row.last_checksum = entries[-1].index, chain_checksum
 
     def _checksum_before(self, group: str, row: GroupRow, index: int) -> int:
-        """The chain's checksum up to the entry before `index`."""
+        """The checksum of the entry before `index`, from which the chain continues."""
         if index == row.last_index + 1:
             return row.last_checksum
         if index == row.snapshot_index + 1:
--- a/badgeryoke/gateway/cluster/storage/verification.py
+++ b/badgeryoke/gateway/cluster/storage/verification.py
@@ -1,4 +1,4 @@
-"""Reading a store back at its opening, with every checksum compared."""
+"""Reading a store back when it is opened, with all checksums verified."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """All that a store holds."""
+    """The contents of a store."""
 
     row: StoreRow
     group_rows: dict[str, GroupRow]
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class _GroupLog:
-    """The entries of a group, and the checksum that their chain ends on."""
+    """The entries of a group, and the checksum of the last one."""
 
     entries: list[LogEntry]
     chain_checksum: int
@@ -41,10 +41,10 @@
 def read_stored_state(
     database: sqlite3.Connection, acknowledged: AcknowledgedCounter, directory: Path
 ) -> StoredState:
-    """Read all of a store.
+    """Read a whole store.
 
-    Raises DamagedRecord, sqlite3.Error, msgspec.DecodeError, UnicodeDecodeError or TypeError where it does not read as
-    written, OSError where it cannot be read.
+    Raises DamagedRecord, sqlite3.Error, msgspec.DecodeError, UnicodeDecodeError or TypeError if it is damaged, and
+    OSError if it cannot be read.
     """
     database.execute("BEGIN")
     _check_pages(database)
--- a/badgeryoke/gateway/cluster/storage/wal_inspection.py
+++ b/badgeryoke/gateway/cluster/storage/wal_inspection.py
@@ -1,8 +1,8 @@
-"""Whether SQLite has cut its write-ahead log where it is more than torn.
+"""Detects damage in SQLite's write-ahead log that SQLite itself ignores.
 
-SQLite ends its log without a word at the first frame whose checksum does not match.  That is right for a torn tail
-alone, and a tear is of one transaction, since each is synced before the next begins.  More than one commit behind
-the cut is damage.  The layout is that of https://www.sqlite.org/walformat.html.
+SQLite ignores the log from the first frame whose checksum does not match, and reports no error.  That is right for a
+torn tail, which is at most one transaction, since each is synced before the next begins.  If more than one commit
+follows that frame, the log is damaged.  The layout is described in https://www.sqlite.org/walformat.html.
 """
 
 from __future__ import annotations
@@ -14,21 +14,21 @@
 
 # magic, format version, page size, checkpoint sequence, two salts, two checksums
 _WAL_HEADER = struct.Struct(">8I")
-# page number, database size in pages (0 but for a commit), two salts, two checksums
+# page number, database size in pages (0 unless the frame is a commit), two salts, two checksums
 _FRAME_HEADER = struct.Struct(">6I")
-_WAL_MAGIC = 0x377F0682  # its lowest bit: checksums are of big-endian words
+_WAL_MAGIC = 0x377F0682  # with the lowest bit set, checksums are over big-endian words
 _CHECKSUMMED_HEADER_BYTES = 24
 _CHECKSUMMED_HEADER_WORDS = 6
-_VALID_FRAMES_OFFSET, _VALID_FRAMES_END = 16, 20  # bytes of the index file: mxFrame, in native order
+_VALID_FRAMES_OFFSET, _VALID_FRAMES_END = 16, 20  # of mxFrame in the index file, in native byte order
 _MAX_TORN_COMMITS = 1
 
 
 def check_write_ahead_log(directory: Path) -> None:
-    """Compare the write-ahead log with what SQLite read of it.  Raises DamagedRecord or OSError."""
+    """Check that SQLite has ignored at most a torn tail of its log.  Raises DamagedRecord or OSError."""
     try:
         wal = (directory / WAL_FILE).read_bytes()
         valid_frames = _valid_frames(directory / WAL_INDEX_FILE)
-    except (FileNotFoundError, struct.error):  # no log, or an index that was not begun
+    except (FileNotFoundError, struct.error):  # no log, or an index file without a header
         return
     if len(wal) < _WAL_HEADER.size or not any(wal[: _WAL_HEADER.size]):
         return
@@ -41,7 +41,7 @@
 
 
 def _valid_frames(index_file: Path) -> int:
-    """Frames that SQLite holds for complete."""
+    """The number of frames that SQLite has accepted as valid."""
     with index_file.open("rb") as index:
         raw = index.read(_VALID_FRAMES_END)
     return int(struct.unpack("=I", raw[_VALID_FRAMES_OFFSET:])[0])
@@ -67,7 +67,7 @@
 
 
 def _commits_after(wal: bytes, valid_frames: int) -> int:
-    """Commit frames of this log behind the frames that SQLite has read."""
+    """The number of commit frames of this log after the valid ones."""
     _, _, page_size, _, *salts, _, _ = _WAL_HEADER.unpack_from(wal)
     frame_size = page_size + _FRAME_HEADER.size
     commits = 0
--- a/badgeryoke/gateway/cluster/storage/writer.py
+++ b/badgeryoke/gateway/cluster/storage/writer.py
@@ -1,4 +1,4 @@
-"""The thread that writes: requests that come while a transaction is under way go into the next one."""
+"""The writer thread.  Requests that arrive during a transaction are batched into the next one."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from badgeryoke.cluster.events import Entries, PersistRecords, Record, RecordsPersisted, Snapshot
 from badgeryoke.gateway.cluster.storage.store import ClusterStorage
 
-MAX_PENDING_BYTES = 64 * 1024 * 1024  # requested and not yet written; beyond it the storage counts as failed
-RECORD_OVERHEAD_BYTES = 64  # of a request, a record or an entry, about
+MAX_PENDING_BYTES = 64 * 1024 * 1024  # not written yet; the storage has failed if there are more
+RECORD_OVERHEAD_BYTES = 64  # approximate, per request, record or entry
 CLOSE_TIMEOUT_S = 1.0
 
 
 class StorageWriter:
-    """Writes off the event loop.
+    """Writes in a thread, so that the event loop does not wait for the disk.
 
-    `on_persisted` is called on the loop, in the order requested; `on_failure` once, when nothing more is written.  The
-    thread is a daemon: a disk that hangs does not hold up the process's end.  The directory stays locked until `close`,
-    also by a storage that failed.
+    `on_persisted` is called on the event loop, in the order of the requests; `on_failure` once, when writing has ended
+    with an error.  The thread is a daemon, so that a hanging disk does not delay the exit of the process.  The directory
+    stays locked until `close`, even if the storage has failed.
     """
 
     def __init__(
@@ -37,13 +37,13 @@
         self._on_persisted = on_persisted
         self._on_failure = on_failure
         self._pending: deque[PersistRecords] = deque()
-        self._pending_bytes = 0  # with those of the transaction under way
+        self._pending_bytes = 0  # including those of the running transaction
         self._writing = False
         self._closed = False
         self.failure: ClusterError | None = None
         self.transactions = 0
         self.records = 0
-        self._batches: queue.SimpleQueue[list[PersistRecords] | None] = queue.SimpleQueue()  # None: no more
+        self._batches: queue.SimpleQueue[list[PersistRecords] | None] = queue.SimpleQueue()  # None: stop
         self._thread = threading.Thread(target=self._write_batches, name="cluster-storage", daemon=True)
         self._thread.start()
 
@@ -71,12 +71,12 @@
             self._batches.put(batch)
 
     def _write_batches(self) -> None:
-        """The thread's body."""
+        """Write batches until the queue yields None or a write fails; runs in the thread."""
         while (batch := self._batches.get()) is not None:
             fault: Exception | None = None
             try:
                 self._storage.write(batch)
-            except Exception as raised:  # whatever it is, the storage has failed and the loop has to know
+            except Exception as raised:  # of any kind: the event loop has to learn of the failure
                 fault = raised
             with contextlib.suppress(RuntimeError):  # the event loop is closed
                 self._call_soon_threadsafe(self._batch_written, batch, fault)
@@ -92,7 +92,7 @@
         self._pending_bytes -= sum(map(_request_bytes, batch))
         self.transactions += 1
         self.records += sum(len(request.records) for request in batch)
-        self._start_next_batch()  # the disk works on while the loop handles the acknowledgements
+        self._start_next_batch()  # the disk writes while the event loop handles the acknowledgements
         self._on_persisted([RecordsPersisted(request.group, request.sequence) for request in batch])
 
     def _fail(self, error: ClusterError) -> None:
@@ -103,7 +103,7 @@
             self._on_failure(error)
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Write what was requested and close the storage; waits no longer than the timeout."""
+        """Write all pending requests and close the storage; waits no longer than the timeout."""
         if not self._closed:
             self._closed = True
             if self._pending and self.failure is None:
@@ -111,12 +111,12 @@
                 self._pending.clear()
             self._batches.put(None)
         self._thread.join(timeout_s)
-        if not self._thread.is_alive():  # else the directory stays locked until the process is gone
+        if not self._thread.is_alive():  # otherwise the directory stays locked until the process exits
             self._storage.close()
 
 
 def _request_bytes(request: PersistRecords) -> int:
-    """Memory that a request holds, about."""
+    """The approximate memory size of a request."""
     return RECORD_OVERHEAD_BYTES + sum(map(_record_bytes, request.records))
 
 
--- a/badgeryoke/gateway/cluster/transport/__init__.py
+++ b/badgeryoke/gateway/cluster/transport/__init__.py
@@ -1,25 +1,25 @@
-"""Connections between the gateways of a cluster: frames of MessagePack over TCP, one connection each way.
+"""Connections between the gateways of a cluster: MessagePack frames over TCP, one connection for each direction.
 
-    frame     4 bytes of length, big-endian, then one `Envelope`
-    dialler   a handshake (an envelope without messages), then, answered, envelopes with messages, and now and then a
-              heartbeat (again one without), to be answered
-    acceptor  one without messages for each such one
+    frame     length in 4 bytes, big-endian, then one `Envelope`
+    dialler   sends a handshake (an envelope without messages); once it is answered, envelopes with messages, and
+              periodically a heartbeat (another envelope without messages)
+    acceptor  answers each handshake and heartbeat with an envelope without messages
 
-Whoever has something to send dials.  Each peer has a send queue of its own, bounded in messages and bytes, so that no
-peer holds up another.  The layers above allow for loss.  A peer that does not read, or that is silent after something
-was sent, is disconnected and its queue dropped, and dialled again after a backoff that doubles and is jittered; at once
-where it has dialled.
+A member dials a peer when it has messages for it.  Each peer has its own send queue, bounded in messages and bytes, so
+that no peer delays another.  The layers above tolerate lost messages.  A peer that does not read, or does not answer a
+heartbeat, is disconnected and its queue is dropped.  It is dialled again after an exponential backoff with jitter, or at
+once if it dials this member.
 
-A frame that cannot be read, or is of another version, cluster or incarnation, ends its connection with a
-`ClusterError`, reported once in ten minutes for each peer and kind.  There is no secret in a handshake: the addresses
-belong into a network of the cluster's own.
+A frame that cannot be decoded, or that is of another version, cluster or incarnation, closes its connection with a
+`ClusterError`, which is reported once in ten minutes for each peer and kind.  Handshakes are not authenticated: the
+addresses have to be in a private network of the cluster.
 
-`limits`         timeouts and bounds
+`limits`         timeouts and size limits
 `frames`         encoding and decoding
-`context`        what all connections of one member share
-`error_reporter` each error once in a while
-`send_queue`     messages that wait for one peer
-`peer`           one peer: its queue and the state of its connection
+`context`        state shared by all connections of one member
+`error_reporter` rate-limited reports of errors
+`send_queue`     messages waiting for one peer
+`peer`           one peer: its send queue and the state of its connection
 `outbound`       dialling one peer and sending
 `inbound`        accepting, checking handshakes and receiving
 `transport`      all connections of one member
--- a/badgeryoke/gateway/cluster/transport/context.py
+++ b/badgeryoke/gateway/cluster/transport/context.py
@@ -1,4 +1,4 @@
-"""What all connections of one member share: its identity, limits, error reports, and the tasks they run in."""
+"""State shared by all connections of one member: its identity, limits, error reporter and tasks."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from badgeryoke.gateway.cluster.transport.frames import encode_frame, quoted
 from badgeryoke.gateway.cluster.transport.limits import TransportLimits
 
-READ_AHEAD_BYTES = 64 * 1024  # that a stream buffers beyond one frame
+READ_AHEAD_BYTES = 64 * 1024  # buffered by a stream beyond one frame
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
     """Shared by a `ClusterTransport` and its connections."""
 
     cluster: str
-    member_id: MemberId  # of this member, with its incarnation
+    member_id: MemberId  # this member's, with its incarnation
     limits: TransportLimits
     errors: ErrorReporter
     random: Random
@@ -30,15 +30,15 @@
 
     @property
     def stream_buffer_bytes(self) -> int:
-        """What a stream may buffer before it is closed."""
+        """The most bytes that a stream may buffer; it is closed beyond that."""
         return self.limits.max_frame_bytes + READ_AHEAD_BYTES
 
     def handshake(self, to: str = "") -> bytes:
-        """An envelope without messages: handshake, heartbeat, and the answer to either."""
+        """The frame of an envelope without messages: a handshake, a heartbeat, or the answer to either."""
         return encode_frame(Envelope(PROTOCOL_VERSION, self.cluster, self.member_id, to, ()))
 
     def check_addressing(self, envelope: Envelope, sender: MemberId) -> ClusterError | None:
-        """Why an envelope is not from `sender` to this member; None where it is."""
+        """Check that an envelope is from `sender` to this member; the error if it is not."""
         own_name = member_name(self.member_id)
         if envelope.sender != sender:
             return BadFrame(sender, f"a frame of {quoted(envelope.sender)} on its link")
@@ -58,6 +58,6 @@
         return task
 
     def cancel_tasks(self) -> None:
-        """Cancel all tasks; they end in the loop's next turns."""
+        """Cancel all tasks; they end in the next iterations of the event loop."""
         for task in list(self._tasks):
             task.cancel()
--- a/badgeryoke/gateway/cluster/transport/error_reporter.py
+++ b/badgeryoke/gateway/cluster/transport/error_reporter.py
@@ -1,4 +1,4 @@
-"""Reports each kind of error of each peer once in a while, however often it happens."""
+"""Rate limit on error reports, by peer and kind of error."""
 
 from __future__ import annotations
 
@@ -17,10 +17,12 @@
 
     def __init__(self, report: Callable[[ClusterError], None]) -> None:
         self._report = report
-        self._reported_at_s: dict[tuple[str, str], float] = {}  # by peer and code, oldest first; loop's clock
+        self._reported_at_s: dict[
+            tuple[str, str], float
+        ] = {}  # by peer and code, oldest first; on the event loop's clock
 
     def report(self, error: ClusterError) -> None:
-        """Report an error, unless its like was reported lately."""
+        """Report an error, unless one of the same peer and code was reported within `REPORT_INTERVAL_S`."""
         key = member_name(error.subject), error.code
         now_s = asyncio.get_running_loop().time()
         if key in self._reported_at_s and now_s - self._reported_at_s[key] < REPORT_INTERVAL_S:
--- a/badgeryoke/gateway/cluster/transport/frames.py
+++ b/badgeryoke/gateway/cluster/transport/frames.py
@@ -1,4 +1,4 @@
-"""Frames on the wire: a length of four bytes, big-endian, then an envelope in MessagePack."""
+"""Encoding and decoding of frames: a length of four bytes, big-endian, then an envelope in MessagePack."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from badgeryoke.cluster.messages import PROTOCOL_VERSION, AnyMessage, Envelope, MemberId
 
 LENGTH_BYTES = 4
-MAX_ENVELOPE_OVERHEAD_BYTES = 1024  # of an envelope beside its messages
-_MAX_QUOTED_NAME_CHARS = 64  # of a peer's word in an error
+MAX_ENVELOPE_OVERHEAD_BYTES = 1024  # an envelope's size without its messages
+_MAX_QUOTED_NAME_CHARS = 64  # of a name that a peer sent, in an error
 _MAX_DECODE_ERROR_CHARS = 200
 
 _encoder = msgspec.msgpack.Encoder()
@@ -20,7 +20,7 @@
 
 
 class _EnvelopeHeader(msgspec.Struct, array_like=True):
-    """What the envelope of every version begins with."""
+    """The first fields of an envelope, which are the same in every protocol version."""
 
     version: int
     fleet: str
@@ -30,23 +30,23 @@
 
 
 def quoted(name: str) -> str:
-    """A name that a peer has sent, cut to a length that an error can hold."""
+    """A name that a peer sent, quoted and truncated for an error."""
     return repr(name[:_MAX_QUOTED_NAME_CHARS])
 
 
 def encode_message(message: AnyMessage) -> bytes:
-    """A message alone, as `encode_batch` takes it."""
+    """Encode one message for `encode_batch`."""
     return _encoder.encode(message)
 
 
 def encode_frame(envelope: Envelope) -> bytes:
-    """An envelope as it goes over the wire."""
+    """Encode an envelope as a frame."""
     return _with_length(_encoder.encode(envelope))
 
 
 def encode_batch(cluster: str, sender: MemberId, to: MemberId, messages: Sequence[msgspec.Raw]) -> bytes:
-    """The frame of an envelope whose messages are encoded already."""
-    # The fields of Envelope in their order: an Envelope itself would hold decoded messages.
+    """Encode a frame of messages that are encoded already."""
+    # A tuple of the fields of Envelope in their order, since Envelope takes only decoded messages.
     return _with_length(_encoder.encode((PROTOCOL_VERSION, cluster, sender, to, messages)))
 
 
@@ -55,7 +55,7 @@
 
 
 def decode_envelope(body: bytes, cluster: str, peer: str) -> Envelope | ClusterError:
-    """An envelope of this version and cluster, or why it is none; `peer` is named in the error."""
+    """Decode an envelope of this version and cluster, or return an error that names `peer`."""
     try:
         header = _header_decoder.decode(body)
         if header.version != PROTOCOL_VERSION:
@@ -72,7 +72,7 @@
 async def read_envelope(
     stream: IOStream, max_frame_bytes: int, cluster: str, peer: str
 ) -> Envelope | ClusterError:
-    """The next frame of a connection.  Raises StreamClosedError where the connection ends."""
+    """Read the next frame of a connection.  Raises StreamClosedError when the connection is closed."""
     size = int.from_bytes(await stream.read_bytes(LENGTH_BYTES), "big")
     if not 0 < size <= max_frame_bytes:
         return BadFrame(peer, f"a frame of {size} bytes, {max_frame_bytes} are the most")
--- a/badgeryoke/gateway/cluster/transport/inbound.py
+++ b/badgeryoke/gateway/cluster/transport/inbound.py
@@ -1,4 +1,4 @@
-"""Connections that peers have dialled: accepting, checking handshakes, receiving messages."""
+"""Connections dialled by peers: accepting, checking handshakes, receiving messages."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REPLACED_INCARNATIONS = 16  # remembered of one member
+MAX_REPLACED_INCARNATIONS = 16  # remembered for each member
 MAX_MEMBER_ID_CHARS = 128
-ACCEPT_RETRY_S = 1.0  # where no file descriptor is left
-# Two for each peer, since one may be dead and not known to be, and some for strangers.
-MAX_CONNECTIONS_PER_PEER, MAX_STRANGERS = 2, 8
-_NO_PEER_YET = ""  # of a connection before its handshake
+ACCEPT_RETRY_S = 1.0  # after the process has run out of file descriptors
+# Two for each peer, since one may be dead and not detected yet, and some for connections without a handshake.
+MAX_CONNECTIONS_PER_PEER, MAX_UNIDENTIFIED_CONNECTIONS = 2, 8
+_UNIDENTIFIED = ""  # name for a connection before its handshake
 
 
 class InboundConnections:
-    """All connections that others have dialled.
+    """All connections that peers have dialled.
 
-    `on_messages` is given the sender and the messages of one frame.
+    `on_messages` is called with the sender and the messages of one frame.
     """
 
     def __init__(
@@ -40,17 +40,17 @@
     ) -> None:
         self._context, self._peers, self._on_messages = context, peers, on_messages
         self._listening_sockets: list[socket.socket] = []
-        self._peer_names: dict[IOStream, str] = {}  # of each connection, oldest first
-        self._current_ids: dict[str, MemberId] = {}  # of each member, as of its last handshake
+        self._peer_names: dict[IOStream, str] = {}  # by connection, oldest first
+        self._current_ids: dict[str, MemberId] = {}  # by member name, from its last handshake
         self._replaced_ids: dict[str, deque[MemberId]] = {}
 
     @property
     def connection_count(self) -> int:
-        """Open connections, with those that have sent no handshake yet."""
+        """The number of open connections, including those without a handshake."""
         return len(self._peer_names)
 
     def listen(self, sockets: Sequence[socket.socket]) -> None:
-        """Accept connections on sockets that listen already."""
+        """Accept connections on listening sockets."""
         for listening in sockets:
             listening.setblocking(False)
             self._listening_sockets.append(listening)
@@ -82,7 +82,7 @@
             accepted, address = listening.accept()
         except (BlockingIOError, InterruptedError, ConnectionAbortedError):
             return
-        except OSError as fault:  # no descriptor is left: the connection waits in the backlog
+        except OSError as fault:  # out of file descriptors: the connection stays in the backlog
             log.warning("cannot accept a peer's connection: %s; retrying in %g s", fault, ACCEPT_RETRY_S)
             loop = asyncio.get_running_loop()
             loop.remove_reader(listening.fileno())
@@ -91,44 +91,45 @@
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = IOStream(accepted, max_buffer_size=self._context.stream_buffer_bytes)
         self._close_oldest_beyond_limit()
-        self._peer_names[stream] = _NO_PEER_YET
+        self._peer_names[stream] = _UNIDENTIFIED
         self._context.start_task(self._serve(stream, str(address[0])))
 
     def _close_oldest_beyond_limit(self) -> None:
-        """Make place for one more: the oldest stranger goes, else the oldest of all."""
-        max_connections = MAX_CONNECTIONS_PER_PEER * len(self._peers) + MAX_STRANGERS
+        """Make room for one more connection: close the oldest without a handshake, else the oldest of all."""
+        max_connections = MAX_CONNECTIONS_PER_PEER * len(self._peers) + MAX_UNIDENTIFIED_CONNECTIONS
         while len(self._peer_names) >= max_connections:
-            strangers = (stream for stream, name in self._peer_names.items() if name == _NO_PEER_YET)
-            oldest = next(strangers, next(iter(self._peer_names)))
+            unidentified = (stream for stream, name in self._peer_names.items() if name == _UNIDENTIFIED)
+            oldest = next(unidentified, next(iter(self._peer_names)))
             del self._peer_names[oldest]
             oldest.close()
 
     # One connection.
 
     async def _serve(self, stream: IOStream, remote_host: str) -> None:
-        """One connection, from its handshake to its end."""
+        """Serve one connection until it is closed."""
         context, limits = self._context, self._context.limits
         try:
-            first = await asyncio.wait_for(
+            handshake = await asyncio.wait_for(
                 read_envelope(stream, limits.max_frame_bytes, context.cluster, remote_host),
                 limits.handshake_timeout_s,
             )
-            sender = self._admit(stream, first, remote_host)
+            sender = self._admit(stream, handshake, remote_host)
             if isinstance(sender, ClusterError):
                 context.errors.report(sender)
-            # Also to a stranger: it learns who is here, and its operator what is wrong.
+            # Answered even if the handshake was rejected, so that the dialler can report the mismatch too.
             await self._answer(stream)
             if isinstance(sender, ClusterError):
                 return
             context.errors.report(await self._receive_until_error(stream, sender))
         except (StreamClosedError, StreamBufferFullError, TimeoutError):
-            pass  # the peer has gone, or sends nothing, or does not read
+            pass  # the peer closed the connection, sent no handshake, or does not read
         finally:
             self._peer_names.pop(stream, None)
             stream.close()
 
     async def _receive_until_error(self, stream: IOStream, sender: MemberId) -> ClusterError:
-        """Take frames up to the first that is wrong.  Raises StreamClosedError where the connection ends."""
+        """Receive frames until one is invalid; returns its error.  Raises StreamClosedError when the connection is
+        closed."""
         context = self._context
         while True:
             envelope = await read_envelope(stream, context.limits.max_frame_bytes, context.cluster, sender)
@@ -144,7 +145,7 @@
                 await self._answer(stream)
 
     async def _answer(self, stream: IOStream) -> None:
-        """Answer a handshake or a heartbeat.  Raises TimeoutError where the peer does not read it."""
+        """Answer a handshake or a heartbeat.  Raises TimeoutError if the peer does not read it."""
         written = stream.write(self._context.handshake())
         await asyncio.wait_for(written, self._context.limits.stall_timeout_s)
 
@@ -153,7 +154,7 @@
     def _admit(
         self, stream: IOStream, handshake: Envelope | ClusterError, remote_host: str
     ) -> MemberId | ClusterError:
-        """Who has dialled, or why the connection is rejected."""
+        """Identify the sender of a handshake, or return why the connection is rejected."""
         if isinstance(handshake, ClusterError):
             return handshake
         if (error := self._check_handshake(handshake, remote_host)) is not None:
@@ -172,7 +173,7 @@
         return self._context.check_addressing(handshake, sender)
 
     def _replace_incarnation(self, sender: MemberId) -> StaleIncarnation | None:
-        """Note the sender as its member's current incarnation; an error where another has replaced it."""
+        """Record the sender as its member's current incarnation; an error if it has been replaced by another."""
         name = member_name(sender)
         current = self._current_ids.get(name)
         replaced = self._replaced_ids.setdefault(name, deque(maxlen=MAX_REPLACED_INCARNATIONS))
@@ -184,8 +185,8 @@
         return None
 
     def _replace_connection(self, stream: IOStream, name: str) -> None:
-        """A peer dials one connection at a time: an earlier one is dead."""
-        for earlier in [other for other, peer_name in self._peer_names.items() if peer_name == name]:
+        """Close a peer's earlier connections: it dials one at a time, so they are dead."""
+        for earlier in [known for known, peer_name in self._peer_names.items() if peer_name == name]:
             earlier.close()
         self._peer_names[stream] = name
         self._peers[name].end_backoff()
--- a/badgeryoke/gateway/cluster/transport/limits.py
+++ b/badgeryoke/gateway/cluster/transport/limits.py
@@ -1,21 +1,21 @@
-"""Timeouts and bounds of the connections between gateways."""
+"""Timeouts and size limits of the connections between gateways."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_FRAME_BYTES = 1024 * 1024 + 64 * 1024  # a full batch of entries, or a piece of a snapshot and its frame
+MAX_FRAME_BYTES = 1024 * 1024 + 64 * 1024  # a full batch of entries, or a chunk of a snapshot with its frame
 
 
 @dataclass(frozen=True, slots=True)
 class TransportLimits:
-    """Of one member's connections; times in seconds."""
+    """The limits of one member's connections; times in seconds."""
 
     connect_timeout_s: float = 1.0
-    handshake_timeout_s: float = 2.0  # for the other side's first frame
-    stall_timeout_s: float = 5.0  # a write that is not taken, or a heartbeat that is not answered
+    handshake_timeout_s: float = 2.0  # for the first frame of the other side
+    stall_timeout_s: float = 5.0  # for a write to complete, or a heartbeat to be answered
     heartbeat_interval_s: float = 1.0
-    idle_timeout_s: float = 20.0  # without a message, then the connection is closed
+    idle_timeout_s: float = 20.0  # without a message, after which the connection is closed
     idle_check_interval_s: float = 1.0
     min_reconnect_backoff_s: float = 0.05  # doubles with each failure
     max_reconnect_backoff_s: float = 2.0
--- a/badgeryoke/gateway/cluster/transport/outbound.py
+++ b/badgeryoke/gateway/cluster/transport/outbound.py
@@ -20,20 +20,20 @@
 from badgeryoke.gateway.cluster.transport.peer import Peer
 from badgeryoke.gateway.connecting import dial
 
-MIN_JITTER, MAX_JITTER = 0.5, 1.5  # by which a backoff is multiplied
+MIN_JITTER, MAX_JITTER = 0.5, 1.5  # factors of a backoff
 
 
 class OutboundConnection:
-    """Dials one peer while there is something to send to it."""
+    """Dials one peer while messages are queued for it."""
 
     def __init__(self, context: TransportContext, peer: Peer) -> None:
         self._context, self._peer = context, peer
 
     async def run(self, always_dial: bool = False) -> None:
-        """Dial until nothing waits, and once in any case with `always_dial`.
+        """Dial while messages are queued, and at least once with `always_dial`.
 
-        What waited when an attempt failed is dropped: it is stale by the time the peer is back, and the layer
-        above sends it again.
+        Messages that were queued when an attempt failed are dropped: they are stale by the time the peer is back,
+        and the layer above sends them again.
         """
         context, peer, limits = self._context, self._peer, self._context.limits
         loop = asyncio.get_running_loop()
@@ -59,14 +59,14 @@
         peer.reconnect_now.clear()
 
     async def _connect_and_send(self) -> bool:
-        """One connection, to its end; whether it was closed because it was idle."""
+        """Run one connection until it is closed; returns whether it was closed because it was idle."""
         context, peer = self._context, self._peer
         stream, connecting = dial(peer.address, context.stream_buffer_bytes)
         reading: asyncio.Task[None] | None = None
         try:
             self._set_user_timeout(stream)
             await asyncio.wait_for(connecting, context.limits.connect_timeout_s)
-            if not await self._shake_hands(stream):
+            if not await self._perform_handshake(stream):
                 return False
             reading = context.start_task(self._read_answers(stream))
             return await self._send_until_idle(stream)
@@ -79,13 +79,13 @@
             stream.close()
 
     def _set_user_timeout(self, stream: IOStream) -> None:
-        """Have the kernel end a connection whose packets are not acknowledged."""
+        """Make the kernel close a connection whose packets are not acknowledged."""
         timeout_ms = int(self._context.limits.stall_timeout_s * 1000)
-        with contextlib.suppress(OSError):  # the heartbeat finds it as well, only later
+        with contextlib.suppress(OSError):  # the heartbeat detects it as well, but later
             stream.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
 
-    async def _shake_hands(self, stream: IOStream) -> bool:
-        """Send the handshake and check the answer; whether the peer is who it should be."""
+    async def _perform_handshake(self, stream: IOStream) -> bool:
+        """Send the handshake and check the answer; returns whether the expected peer has answered."""
         context, peer, limits = self._context, self._peer, self._context.limits
         await asyncio.wait_for(stream.write(context.handshake(peer.name)), limits.handshake_timeout_s)
         answer = await asyncio.wait_for(
@@ -101,7 +101,7 @@
         return True
 
     async def _send_until_idle(self, stream: IOStream) -> bool:
-        """Send what is queued; True once the connection is idle, False where it has failed."""
+        """Send queued messages; returns True once the connection is idle, False if it has failed."""
         context, peer = self._context, self._peer
         while not stream.closed():
             to, bodies = peer.queue.next_batch()
@@ -110,7 +110,7 @@
                 if peer.idle:
                     return True
                 await peer.work_available.wait()
-                await asyncio.sleep(0)  # what else this turn of the loop sends goes into the same frame
+                await asyncio.sleep(0)  # lets other messages of this event loop iteration join the frame
                 continue
             if to not in (peer.member_id, peer.name, f"{peer.name}/"):
                 peer.queue.dropped_count += len(bodies)
@@ -125,15 +125,15 @@
         return False
 
     async def _write(self, stream: IOStream, data: bytes) -> None:
-        """Raises TimeoutError where the peer does not take it."""
+        """Write to the stream.  Raises TimeoutError if the peer does not read."""
         written = stream.write(data)
         if not written.done():
             await asyncio.wait_for(written, self._context.limits.stall_timeout_s)
 
-    # A half-open connection takes what is written though nobody is there; a heartbeat that is not answered shows it.
+    # Writes to a half-open connection succeed although the peer is gone; an unanswered heartbeat detects that.
 
     def _heartbeat_if_due(self) -> bytes:
-        """The frame of a heartbeat, empty where one is on its way or none is due."""
+        """The frame of a heartbeat; empty if one is unanswered or none is due."""
         peer, now_s = self._peer, asyncio.get_running_loop().time()
         if peer.heartbeat_sent_at_s is not None or now_s < peer.next_heartbeat_at_s:
             return b""
@@ -148,7 +148,7 @@
         return asyncio.get_running_loop().time() - sent_at_s > self._context.limits.stall_timeout_s
 
     async def _read_answers(self, stream: IOStream) -> None:
-        """Read the peer's answers to heartbeats, up to the connection's end."""
+        """Read the peer's answers to heartbeats until the connection is closed."""
         context, peer = self._context, self._peer
         with contextlib.suppress(StreamClosedError, StreamBufferFullError):
             while not isinstance(
--- a/badgeryoke/gateway/cluster/transport/send_queue.py
+++ b/badgeryoke/gateway/cluster/transport/send_queue.py
@@ -1,4 +1,4 @@
-"""Messages that wait for one peer, bounded in number and bytes."""
+"""The queue of messages for one peer, bounded in number and bytes."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from badgeryoke.gateway.cluster.transport.frames import MAX_ENVELOPE_OVERHEAD_BYTES
 from badgeryoke.gateway.cluster.transport.limits import TransportLimits
 
-_COMPACTION_FACTOR = 2  # a deque longer than so many times the bound holds mostly removed messages
+_COMPACTION_FACTOR = 2  # compacted beyond this multiple of the bound, when most messages are removed
 
 
 @dataclass(slots=True)
 class QueuedMessage:
-    """An encoded message; `body` is empty once it was sent or dropped."""
+    """An encoded message; `body` is empty after it was sent or dropped."""
 
     to: MemberId
     body: bytes
@@ -25,18 +25,20 @@
 
 @dataclass(slots=True)
 class SendQueue:
-    """First in, first out; at a bound the oldest message of low priority is dropped, else the oldest of all.
+    """A FIFO queue; beyond a bound the oldest low-priority message is dropped, else the oldest of all.
 
-    A message that is sent or dropped stays in the deques as an empty one until it comes to their front, so that
-    dropping from the middle takes constant time.
+    A sent or dropped message stays in the deques with an empty body until it reaches their front, so that dropping from
+    the middle takes constant time.
     """
 
     limits: TransportLimits
     messages: deque[QueuedMessage] = field(default_factory=deque)
-    low_priority_messages: deque[QueuedMessage] = field(default_factory=deque)  # those of them, in order
+    low_priority_messages: deque[QueuedMessage] = field(
+        default_factory=deque
+    )  # subset of `messages`, in order
     message_count: int = 0
     size_bytes: int = 0
-    dropped_count: int = 0  # at a bound, or with a connection
+    dropped_count: int = 0  # beyond a bound, or when a connection failed
 
     def add(self, to: MemberId, body: bytes, low_priority: bool) -> None:
         """Queue an encoded message."""
@@ -54,7 +56,7 @@
         self._compact()
 
     def next_batch(self) -> tuple[MemberId, list[msgspec.Raw]]:
-        """Remove the next messages to one member, as many as a frame holds; the receiver, and their bodies."""
+        """Remove the next messages to one member, up to one frame; returns the receiver and their bodies."""
         to = ""
         bodies: list[msgspec.Raw] = []
         size_bytes = MAX_ENVELOPE_OVERHEAD_BYTES
@@ -74,7 +76,7 @@
         return to, bodies
 
     def drop_all(self) -> None:
-        """Drop all that waits."""
+        """Drop all queued messages."""
         self.dropped_count += self.message_count
         self.message_count = self.size_bytes = 0
         self.messages.clear()
@@ -84,8 +86,8 @@
         low_priority = self.low_priority_messages
         while low_priority and not low_priority[0].body:
             low_priority.popleft()
-        waiting = (message for message in self.messages if message.body)
-        self._remove(low_priority.popleft() if low_priority else next(waiting))
+        remaining = (message for message in self.messages if message.body)
+        self._remove(low_priority.popleft() if low_priority else next(remaining))
         self.dropped_count += 1
 
     def _remove(self, message: QueuedMessage) -> None:
@@ -94,7 +96,7 @@
         message.body = b""
 
     def _compact(self) -> None:
-        """Keep removed messages from filling the deques."""
+        """Delete removed messages, so that they do not fill the deques."""
         while self.messages and not self.messages[0].body:
             self.messages.popleft()
         max_length = _COMPACTION_FACTOR * self.limits.max_queued_messages
--- a/badgeryoke/gateway/cluster/transport/transport.py
+++ b/badgeryoke/gateway/cluster/transport/transport.py
@@ -28,15 +28,15 @@
 from badgeryoke.gateway.cluster.transport.outbound import OutboundConnection
 from badgeryoke.gateway.cluster.transport.peer import Address, Peer, PeerStatus
 
-# Dropped first where a send queue is full: each is sent again soon, or is of no use later.
+# Dropped first when a send queue is full: they are sent again soon, or are useless later.
 _LOW_PRIORITY_TYPES = (Ping, Ack, PingRequest, Nack, RequestVote, RequestVoteReply)
 
 
 class ClusterTransport:
     """Sends to and receives from all peers of one member.
 
-    `on_messages` is given the sender and the messages of one frame; `on_error` each error, rate-limited.  Peers are
-    known by their addresses; a message to anybody else is dropped.
+    `on_messages` is called with the sender and the messages of one frame, `on_error` with each error, rate-limited.  A
+    message to a member without an address in `addresses` is dropped.
     """
 
     def __init__(
@@ -60,22 +60,22 @@
 
     @property
     def inbound_connection_count(self) -> int:
-        """Open connections that others have dialled."""
+        """The number of open connections that peers have dialled."""
         return self._inbound.connection_count
 
     def listen(self, sockets: Sequence[socket.socket]) -> None:
-        """Accept connections on sockets that listen already."""
+        """Accept connections on listening sockets."""
         self._inbound.listen(sockets)
         asyncio.get_running_loop().call_later(self.limits.idle_check_interval_s, self._check_idle)
 
     def dial_all(self) -> None:
-        """Dial every peer: who leads a group with a copy here may be in a long backoff for an address that was silent,
-        and being dialled ends it."""
+        """Dial every peer: the leader of a group with a replica here may be in a long backoff since this member was
+        unreachable, and being dialled ends it."""
         for peer in self.peers.values():
             self._start_sending(peer, always_dial=True)
 
     def send(self, to: MemberId, message: AnyMessage) -> None:
-        """Queue a message; all of one turn of the loop go in one frame."""
+        """Queue a message; the messages of one event loop iteration are sent together."""
         peer = self.peers.get(member_name(to))
         if peer is None or self._context.closed:
             return
@@ -90,7 +90,8 @@
         self._start_sending(peer)
 
     def close(self) -> None:
-        """Close all connections and drop what waits.  The tasks are cancelled and end in the loop's next turns."""
+        """Close all connections, drop queued messages and cancel the tasks; they end in the next iterations of the event
+        loop."""
         self._context.closed = True
         self._inbound.stop_listening()
         self._context.cancel_tasks()
@@ -108,7 +109,7 @@
             peer.send_task = self._context.start_task(connection.run(always_dial))
 
     def _check_idle(self) -> None:
-        """Have connections closed over which nothing is sent."""
+        """Have idle connections closed, periodically."""
         loop = asyncio.get_running_loop()
         for peer in self.peers.values():
             peer.check_idle(loop.time())
