--- a/badgeryoke/gateway/cluster/node_driver.py
+++ b/badgeryoke/gateway/cluster/node_driver.py
@@ -107,9 +107,11 @@
             effects = self.node.handle(self._clock.monotonic_ms(), self._clock.unix_ms(), event)
         except Exception:  # of any kind: the node's state is unreliable, and requests must still be served
             event_type = type(event).__name__
-            log.exception("cluster node failed at %s", event_type)
+            log.exception("cluster node failed while handling %s", event_type)
             self._on_failure(
-                InvariantBroken(self._member, f"it failed at {event_type}; the log has the cause")
+                InvariantBroken(
+                    self._member, f"it failed while handling {event_type}; see the log for the cause"
+                )
             )
             return None
         if self._invariants.count > self._broken_invariants:
--- a/badgeryoke/gateway/cluster/service.py
+++ b/badgeryoke/gateway/cluster/service.py
@@ -103,7 +103,7 @@
             await self._open_and_run()
         except Exception:  # of any kind: the gateway runs on without the cluster
             log.exception("cluster member could not start")
-            self._fail(InvariantBroken(self.member, "it could not begin; the log has the cause"))
+            self._fail(InvariantBroken(self.member, "it could not start; see the log for the cause"))
 
     async def _open_and_run(self) -> None:
         opened = await open_storage_when_free(self.settings, self.member, self._is_closed)
@@ -159,7 +159,9 @@
         log.error("this member has stopped, the cluster goes on without it: %s", error)
         if self.running is not None:
             self.running.stop()
-        self._calls.complete_all(UnknownOutcome(self.member, f"this member stopped meanwhile: {error.code}"))
+        self._calls.complete_all(
+            UnknownOutcome(self.member, f"this member stopped before the call was completed: {error.code}")
+        )
 
     # Calls and status.
 
@@ -168,9 +170,9 @@
         if self.failure is not None:
             return self.failure
         if self.running is None or self.node is None or self._closed:
-            return NoLeader(self.member, "this member is starting or ending")
+            return NoLeader(self.member, "this member is starting or shutting down")
         if len(self._calls) >= MAX_PENDING_CALLS:
-            return Overloaded(self.member, f"{MAX_PENDING_CALLS} calls are under way at this member")
+            return Overloaded(self.member, f"{MAX_PENDING_CALLS} calls are pending at this member")
         timeout_s = self.settings.timings.call_ms * CALL_TIMEOUT_FACTOR / 1000.0
         feed = self.running.feed
         try:
@@ -245,7 +247,9 @@
             if self.failure is None:
                 self.running.stop()
             self.running.writer.close(CLOSE_TIMEOUT_S)
-        self._calls.complete_all(UnknownOutcome(self.member, "this member ended meanwhile"))
+        self._calls.complete_all(
+            UnknownOutcome(self.member, "this member shut down before the call was completed")
+        )
 
 
 def _log_broken_invariant(rule: Rule, facts: str) -> None:
--- a/badgeryoke/gateway/cluster/settings.py
+++ b/badgeryoke/gateway/cluster/settings.py
@@ -115,7 +115,7 @@
     if not 0 <= settings.capacity < float("inf"):
         yield f"fleet.capacity: expected 0 or above, got {settings.capacity!r}"
     if len(settings.members) > MAX_MEMBERS:
-        yield f"fleet.members: {len(settings.members)}, {MAX_MEMBERS} are the most"
+        yield f"fleet.members: {len(settings.members)}, at most {MAX_MEMBERS} are allowed"
     if len(settings.members) < settings.copies:
         yield f"fleet.members: {len(settings.members)} cannot hold {settings.copies} copies"
 
--- a/badgeryoke/gateway/cluster/storage/opening.py
+++ b/badgeryoke/gateway/cluster/storage/opening.py
@@ -89,7 +89,7 @@
     try:
         fcntl.flock(opening.lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
     except OSError:
-        return StorageLocked(StorageFailed(member, f"{directory}: another process holds it"))
+        return StorageLocked(StorageFailed(member, f"{directory}: another process holds its lock"))
     try:
         for _ in range(OPEN_ATTEMPTS):
             opened = opening.attempt()
@@ -116,7 +116,7 @@
         """Open the store; None if it was damaged and has been set aside.  Raises OSError or sqlite3.Error."""
         if other := self._store_of_another_format():
             return StorageFailed(
-                self.member, f"{self.directory}: holds {other}, this program knows {DATABASE_FILE}"
+                self.member, f"{self.directory}: contains {other}, this version supports {DATABASE_FILE}"
             )
         if not (self.directory / DATABASE_FILE).exists():
             self._note_missing_store()
@@ -180,7 +180,7 @@
                 self.faults.append(
                     StorageDamaged(
                         self.member,
-                        f"{path} is gone, {acknowledged} transactions were acknowledged in it",
+                        f"{path} is missing, but {acknowledged} transactions were acknowledged in it",
                     )
                 )
 
--- a/badgeryoke/gateway/cluster/storage/store.py
+++ b/badgeryoke/gateway/cluster/storage/store.py
@@ -139,8 +139,8 @@
         ).fetchone()
         if snapshot.last_included_index < row.snapshot_index:
             raise DamagedRecord(
-                f"group {group}: a snapshot to {snapshot.last_included_index} "
-                f"behind one to {row.snapshot_index}"
+                f"group {group}: a snapshot up to entry {snapshot.last_included_index} "
+                f"is older than the stored one up to {row.snapshot_index}"
             )
         if entry is not None and entry[0] == snapshot.last_included_term:
             self._database.execute("DELETE FROM entry WHERE grp = ? AND idx <= ?", key)
@@ -161,7 +161,7 @@
         first_index = entries[0].index
         if not row.snapshot_index < first_index <= row.last_index + 1:
             raise DamagedRecord(
-                f"group {group}: entry {first_index} does not join a log"
+                f"group {group}: entry {first_index} does not continue a log"
                 f" from {row.snapshot_index} to {row.last_index}"
             )
         chain_checksum = self._checksum_before(group, row, first_index)
@@ -170,7 +170,7 @@
         rows = []
         for index, entry in enumerate(entries, first_index):
             if entry.index != index:
-                raise DamagedRecord(f"group {group}: entry {entry.index} where {index} follows")
+                raise DamagedRecord(f"group {group}: entry {entry.index} instead of {index}")
             chain_checksum = entry_checksum(entry, chain_checksum)
             rows.append((group, index, entry.term, entry.kind, entry.body, chain_checksum))
         self._database.executemany("INSERT INTO entry VALUES (?, ?, ?, ?, ?, ?)", rows)
--- a/badgeryoke/gateway/cluster/storage/verification.py
+++ b/badgeryoke/gateway/cluster/storage/verification.py
@@ -58,7 +58,7 @@
     }
     if (acknowledged_number := acknowledged.read()) > row.transaction_number:
         raise DamagedRecord(
-            f"{acknowledged_number} transactions were acknowledged, {row.transaction_number} are there"
+            f"{acknowledged_number} transactions were acknowledged, only {row.transaction_number} are stored"
         )
     check_write_ahead_log(directory)
     database.execute("COMMIT")
@@ -115,7 +115,7 @@
     ):
         row = group_rows.get(group)
         if row is None:
-            raise DamagedRecord(f"group {group!r}: entries without its row")
+            raise DamagedRecord(f"group {group!r}: it has entries but no row")
         log = logs.get(group)
         if log is None:
             log = logs[group] = _GroupLog([], row.chain_start_checksum)
@@ -135,7 +135,7 @@
         log = _GroupLog([], row.chain_start_checksum)
     last_index = row.snapshot_index + len(log.entries)
     if (last_index, log.chain_checksum) != (row.last_index, row.last_checksum):
-        raise DamagedRecord(f"group {group!r}: its log ends at {last_index}, written to {row.last_index}")
+        raise DamagedRecord(f"group {group!r}: its log ends at entry {last_index}, not at {row.last_index}")
     if row.snapshot_index > 0 and snapshot is None:
         raise DamagedRecord(f"group {group!r}: its snapshot is missing")
     return PersistedGroup(row.term, row.vote, snapshot, tuple(log.entries))
--- a/badgeryoke/gateway/cluster/storage/wal_inspection.py
+++ b/badgeryoke/gateway/cluster/storage/wal_inspection.py
@@ -35,9 +35,7 @@
     _check_header(wal)
     commits = _commits_after(wal, valid_frames)
     if commits > _MAX_TORN_COMMITS:
-        raise DamagedRecord(
-            f"{commits} transactions lie behind a part of the write-ahead log that does not read"
-        )
+        raise DamagedRecord(f"{commits} transactions follow an invalid frame of the write-ahead log")
 
 
 def _valid_frames(index_file: Path) -> int:
--- a/badgeryoke/gateway/cluster/storage/writer.py
+++ b/badgeryoke/gateway/cluster/storage/writer.py
@@ -57,7 +57,7 @@
             self._fail(
                 StorageFailed(
                     self._storage.member,
-                    f"{self._pending_bytes} bytes wait for a disk that does not keep up",
+                    f"the disk is too slow: {self._pending_bytes} bytes wait to be written",
                 )
             )
         else:
--- a/badgeryoke/gateway/cluster/transport/context.py
+++ b/badgeryoke/gateway/cluster/transport/context.py
@@ -41,13 +41,13 @@
         """Check that an envelope is from `sender` to this member; the error if it is not."""
         own_name = member_name(self.member_id)
         if envelope.sender != sender:
-            return BadFrame(sender, f"a frame of {quoted(envelope.sender)} on its link")
+            return BadFrame(sender, f"a frame from {quoted(envelope.sender)} on its connection")
         if envelope.to and member_name(envelope.to) != own_name:
-            return ClusterMismatch(
-                sender, f"it looks for {quoted(envelope.to)} here, this is {self.member_id}"
-            )
+            return ClusterMismatch(sender, f"it sends to {quoted(envelope.to)}, but this is {self.member_id}")
         if envelope.to not in ("", self.member_id, own_name, f"{own_name}/"):
-            return StaleIncarnation(sender, f"it asks for {quoted(envelope.to)}, this is {self.member_id}")
+            return StaleIncarnation(
+                sender, f"it sends to {quoted(envelope.to)}, but this is {self.member_id}"
+            )
         return None
 
     def start_task(self, work: Coroutine[object, object, None]) -> asyncio.Task[None]:
--- a/badgeryoke/gateway/cluster/transport/frames.py
+++ b/badgeryoke/gateway/cluster/transport/frames.py
@@ -59,10 +59,10 @@
     try:
         header = _header_decoder.decode(body)
         if header.version != PROTOCOL_VERSION:
-            return BadFrame(peer, f"version {header.version}, this one speaks {PROTOCOL_VERSION}")
+            return BadFrame(peer, f"protocol version {header.version}, this member speaks {PROTOCOL_VERSION}")
         if header.fleet != cluster:
             return ClusterMismatch(
-                peer, f"it belongs to fleet {quoted(header.fleet)}, this one to {cluster!r}"
+                peer, f"it belongs to fleet {quoted(header.fleet)}, this member to {cluster!r}"
             )
         return _envelope_decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
@@ -75,5 +75,5 @@
     """Read the next frame of a connection.  Raises StreamClosedError when the connection is closed."""
     size = int.from_bytes(await stream.read_bytes(LENGTH_BYTES), "big")
     if not 0 < size <= max_frame_bytes:
-        return BadFrame(peer, f"a frame of {size} bytes, {max_frame_bytes} are the most")
+        return BadFrame(peer, f"a frame of {size} bytes, expected 1 to {max_frame_bytes}")
     return decode_envelope(await stream.read_bytes(size), cluster, peer)
--- a/badgeryoke/gateway/cluster/transport/inbound.py
+++ b/badgeryoke/gateway/cluster/transport/inbound.py
@@ -167,9 +167,9 @@
     def _check_handshake(self, handshake: Envelope, remote_host: str) -> ClusterError | None:
         sender = handshake.sender
         if member_name(sender) not in self._peers or "/" not in sender or len(sender) > MAX_MEMBER_ID_CHARS:
-            return ClusterMismatch(remote_host, f"{quoted(sender)} is no other member of this fleet")
+            return ClusterMismatch(remote_host, f"{quoted(sender)} is not another member of this fleet")
         if handshake.messages:
-            return BadFrame(sender, "messages before the hello was answered")
+            return BadFrame(sender, "messages before the handshake was answered")
         return self._context.check_addressing(handshake, sender)
 
     def _replace_incarnation(self, sender: MemberId) -> StaleIncarnation | None:
@@ -178,7 +178,7 @@
         current = self._current_ids.get(name)
         replaced = self._replaced_ids.setdefault(name, deque(maxlen=MAX_REPLACED_INCARNATIONS))
         if sender in replaced:
-            return StaleIncarnation(sender, f"{current} has come in its place")
+            return StaleIncarnation(sender, f"it was replaced by {current}")
         if current is not None and current != sender:
             replaced.append(current)
         self._current_ids[name] = sender
--- a/badgeryoke/gateway/cluster/transport/outbound.py
+++ b/badgeryoke/gateway/cluster/transport/outbound.py
@@ -93,7 +93,7 @@
             limits.handshake_timeout_s,
         )
         if not isinstance(answer, ClusterError) and member_name(answer.sender) != peer.name:
-            answer = ClusterMismatch(peer.name, f"{quoted(answer.sender)} answers at its address")
+            answer = ClusterMismatch(peer.name, f"{quoted(answer.sender)} answered at its address")
         if isinstance(answer, ClusterError):
             context.errors.report(answer)
             return False
@@ -114,7 +114,7 @@
                 continue
             if to not in (peer.member_id, peer.name, f"{peer.name}/"):
                 peer.queue.dropped_count += len(bodies)
-                context.errors.report(StaleIncarnation(to, f"it is {peer.member_id} now"))
+                context.errors.report(StaleIncarnation(to, f"it was replaced by {peer.member_id}"))
                 continue
             frame = encode_batch(context.cluster, context.member_id, to, bodies)
             if self._heartbeat_timed_out():
--- a/badgeryoke/gateway/cluster/transport/transport.py
+++ b/badgeryoke/gateway/cluster/transport/transport.py
@@ -83,7 +83,7 @@
         if len(body) + MAX_ENVELOPE_OVERHEAD_BYTES > self.limits.max_frame_bytes:
             tag = type(message).__struct_config__.tag
             self._context.errors.report(
-                BadFrame(to, f"a {tag} of {len(body)} bytes is more than a frame holds")
+                BadFrame(to, f"a {tag} message of {len(body)} bytes does not fit into a frame")
             )
             return
         peer.enqueue(to, body, _has_low_priority(message))
--- a/tests/gateway/cluster/test_service.py
+++ b/tests/gateway/cluster/test_service.py
@@ -373,7 +373,7 @@
 
 @pytest.mark.parametrize(
     ("way", "word"),
-    [(breaking_an_invariant, "VOTE_ONCE"), (raising_an_exception, "the log has the cause")],
+    [(breaking_an_invariant, "VOTE_ONCE"), (raising_an_exception, "see the log for the cause")],
     ids=["invariant", "exception"],
 )
 def test_a_broken_invariant_or_an_exception_stops_the_member_alone(
--- a/tests/gateway/cluster/test_storage.py
+++ b/tests/gateway/cluster/test_storage.py
@@ -239,9 +239,7 @@
     wal.write_bytes(raw)
     (tmp_path / "dead" / ACKNOWLEDGED_FILE).write_bytes(acknowledged)
     reopened_storage = open_existing(tmp_path / "dead", incarnation="2")
-    assert (
-        reopened_storage.incarnation == "2" and "transactions lie behind" in reopened_storage.faults[0].detail
-    )
+    assert reopened_storage.incarnation == "2" and "transactions follow" in reopened_storage.faults[0].detail
     reopened_storage.close()
 
 
