--- a/badgeryoke/gateway/cluster/transport/peer.py
+++ b/badgeryoke/gateway/cluster/transport/peer.py
@@ -42,7 +42,7 @@
     work_available: asyncio.Event = field(default_factory=asyncio.Event)
     reconnect_now: asyncio.Event = field(
         default_factory=asyncio.Event
-    )  # set when the peer has dialled, which ends the backoff
+    )  # set when the peer dials; ends backoff
     send_task: asyncio.Task[None] | None = None
 
     def __post_init__(self) -> None:
--- a/badgeryoke/gateway/cluster/transport/send_queue.py
+++ b/badgeryoke/gateway/cluster/transport/send_queue.py
@@ -33,9 +33,7 @@
 
     limits: TransportLimits
     messages: deque[QueuedMessage] = field(default_factory=deque)
-    low_priority_messages: deque[QueuedMessage] = field(
-        default_factory=deque
-    )  # subset of `messages`, in order
+    low_priority_messages: deque[QueuedMessage] = field(default_factory=deque)  # subset of `messages`
     message_count: int = 0
     size_bytes: int = 0
     dropped_count: int = 0  # beyond a bound, or when a connection failed
