--- a/badgeryoke/gateway/cluster/service.py
+++ b/badgeryoke/gateway/cluster/service.py
@@ -156,7 +156,7 @@
         if self.failure is not None:
             return
         self.failure = error
-        log.error("this member has stopped, the cluster goes on without it: %s", error)
+        log.error("this member has stopped; the cluster continues without it: %s", error)
         if self.running is not None:
             self.running.stop()
         self._calls.complete_all(
--- a/badgeryoke/gateway/cluster/startup.py
+++ b/badgeryoke/gateway/cluster/startup.py
@@ -102,13 +102,13 @@
 ) -> None:
     persisted = storage.persisted_groups.get(group)
     if persisted is None:
-        log.warning("fleet.forced.%s: this member holds no copy of it", group)
+        log.warning("fleet.forced.%s: this member has no replica of the group", group)
         return
     changed = force_sole_voter(persisted, group, member_id, lost_members, unix_ms())
     if changed is persisted:
         log.warning(
-            "fleet.forced.%s: nothing to do: done already, or these are not all its other members; "
-            "take the line out again",
+            "fleet.forced.%s: ignored: it was applied already, or these are not all other members of the group; "
+            "remove the line",
             group,
         )
         return
@@ -117,7 +117,7 @@
     storage.write([PersistRecords(group, 0, records)])
     storage.persisted_groups[group] = changed
     log.warning(
-        "fleet.forced.%s: BY HAND, the group goes on from this copy alone, without %s",
+        "fleet.forced.%s: forced recovery: the group continues from this replica alone, without %s",
         group,
         ", ".join(lost_members),
     )
--- a/badgeryoke/gateway/cluster/storage/acknowledged_counter.py
+++ b/badgeryoke/gateway/cluster/storage/acknowledged_counter.py
@@ -51,7 +51,7 @@
         """The last number written.  Raises DamagedRecord or OSError."""
         raw = os.pread(self._descriptor, _RECORD.size, 0)
         if len(raw) != _RECORD.size or zlib.crc32(raw[:_NUMBER_BYTES]) != _RECORD.unpack(raw)[1]:
-            raise DamagedRecord("the count of acknowledged transactions does not read as written")
+            raise DamagedRecord("the counter of acknowledged transactions is corrupt")
         return int(_RECORD.unpack(raw)[0])
 
     def close(self) -> None:
--- a/badgeryoke/gateway/cluster/storage/opening.py
+++ b/badgeryoke/gateway/cluster/storage/opening.py
@@ -97,7 +97,7 @@
                 return opened
     except (OSError, sqlite3.Error) as fault:
         return StorageFailed(member, f"{directory}: {fault}")
-    return StorageFailed(member, f"{directory}: a new store does not read as written")
+    return StorageFailed(member, f"{directory}: a new store is corrupt")
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgeryoke/gateway/cluster/storage/verification.py
+++ b/badgeryoke/gateway/cluster/storage/verification.py
@@ -77,7 +77,7 @@
         row = StoreRow(*rows[0][:-1])
         if row.columns() == rows[0]:
             return row
-    raise DamagedRecord("the store's own row does not read as written")
+    raise DamagedRecord("the store's own row is corrupt")
 
 
 def _read_group_rows(database: sqlite3.Connection, store_row: StoreRow) -> dict[str, GroupRow]:
@@ -86,7 +86,7 @@
     for group, *columns in database.execute("SELECT * FROM part ORDER BY grp"):
         row = group_rows[group] = GroupRow(*columns)
         if row.expected_checksum(group) != row.row_checksum:
-            raise DamagedRecord(f"group {group!r}: its row does not read as written")
+            raise DamagedRecord(f"group {group!r}: its row is corrupt")
         groups_checksum ^= row.row_checksum
     if groups_checksum != store_row.groups_checksum:
         raise DamagedRecord("a group's row is missing")
@@ -102,7 +102,7 @@
             or row.snapshot_checksum != snapshot_checksum(index, term, configuration, body)
             or row.snapshot_index != index
         ):
-            raise DamagedRecord(f"group {group!r}: its snapshot does not read as written")
+            raise DamagedRecord(f"group {group!r}: its snapshot is corrupt")
         decoded = msgspec.msgpack.decode(configuration, type=GroupConfiguration)
         snapshots[group] = Snapshot(index, term, decoded, body)
     return snapshots
@@ -123,7 +123,7 @@
         log.chain_checksum = entry_checksum(entry, log.chain_checksum)
         expected_index = row.snapshot_index + len(log.entries) + 1
         if log.chain_checksum != stored_checksum or index != expected_index:
-            raise DamagedRecord(f"group {group!r}: entry {index} does not read as written")
+            raise DamagedRecord(f"group {group!r}: entry {index} is corrupt")
         log.entries.append(entry)
     return logs
 
--- a/badgeryoke/gateway/cluster/storage/wal_inspection.py
+++ b/badgeryoke/gateway/cluster/storage/wal_inspection.py
@@ -48,7 +48,7 @@
 def _check_header(wal: bytes) -> None:
     magic, _, _, _, _, _, *stored_checksum = _WAL_HEADER.unpack_from(wal)
     if magic & ~1 != _WAL_MAGIC or _header_checksum(wal, magic) != stored_checksum:
-        raise DamagedRecord("the head of the write-ahead log does not read as written")
+        raise DamagedRecord("the header of the write-ahead log is corrupt")
 
 
 def _header_checksum(wal: bytes, magic: int) -> list[int]:
