--- a/badgeryoke/gateway/cluster/transport/peer.py
+++ b/badgeryoke/gateway/cluster/transport/peer.py
@@ -40,9 +40,7 @@
     reconnect_backoff_s: float = 0.0
     reconnect_at_s: float = 0.0
     work_available: asyncio.Event = field(default_factory=asyncio.Event)
-    reconnect_now: asyncio.Event = field(
-        default_factory=asyncio.Event
-    )  # set when the peer dials; ends backoff
+    reconnect_now: asyncio.Event = field(default_factory=asyncio.Event)  # set when the peer has dialled
     send_task: asyncio.Task[None] | None = None
 
     def __post_init__(self) -> None:
--- a/tests/gateway/cluster/test_connection_leases.py
+++ b/tests/gateway/cluster/test_connection_leases.py
@@ -1,4 +1,4 @@
-"""Upstream connections under leases, on real sockets; the group that grants the leases stands in the test."""
+"""Tests of leased upstream connections on real sockets; the test grants the leases in place of the cluster."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 )
 from tests.support.transport import run_with_timeout
 
-TEST_TIMEOUT_S = 60.0  # leases have to end and move in some tests
+TEST_TIMEOUT_S = 60.0  # some tests wait for leases to expire and move
 
 
 def test_two_gateways_together_never_exceed_the_connection_limit() -> None:
@@ -60,23 +60,19 @@
         async with CountingServer() as server, leased_gateways(server, "a", "b") as (group, a, b):
             a.use_short_connect_timeout()
             keep_busy(a, 6)
-            await wait_until(
-                lambda: server.open_from("a") == CONNECTION_LIMIT
-            )  # all of it while nobody else asks
+            # The whole limit while no other gateway requests a lease.
+            await wait_until(lambda: server.open_from("a") == CONNECTION_LIMIT)
             keep_busy(b, 6)
-            await wait_until(
-                lambda: server.open_from("a") == server.open_from("b") == 2
-            )  # half of it has moved
+            # Half of the limit has moved.
+            await wait_until(lambda: server.open_from("a") == server.open_from("b") == 2)
             group.unreachable.add("a")
-            await wait_until(lambda: a.open_connections == 0)  # its lease has ended: it closed by itself ...
+            await wait_until(lambda: a.open_connections == 0)  # closed by itself when its lease expired
             assert server.open_from("a") == 0
-            lost = len(a.attempt_ends)
-            await wait_until(
-                lambda: server.open_from("b") == CONNECTION_LIMIT
-            )  # ... and later, the other has its part
-            await wait_until(
-                lambda: len(a.attempt_ends) > lost + 6
-            )  # without a lease each attempt fails in its time
+            failed_attempts = len(a.attempt_ends)
+            # The other gateway later gets the whole limit.
+            await wait_until(lambda: server.open_from("b") == CONNECTION_LIMIT)
+            # Without a lease each attempt fails at its connect timeout.
+            await wait_until(lambda: len(a.attempt_ends) > failed_attempts + 6)
             assert server.open_from("a") == 0
             group.unreachable.clear()
             await wait_until(lambda: server.open_from("a") == server.open_from("b") == 2)
@@ -89,18 +85,18 @@
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        async with Backend() as node, Discovery(entry("s", node.port)) as list_:
+        async with Backend() as backend, Discovery(entry("s", backend.port)) as discovery:
             operators = Operators(
                 fleet=cluster_settings(tmp_path, servers=Servers(connections=CONNECTION_LIMIT))
             )
-            made = replace(
-                config(list_.port, None, roster(entry("s", node.port))), name="a", operators=operators
+            gateway_config = replace(
+                config(discovery.port, None, roster(entry("s", backend.port))), name="a", operators=operators
             )
-            async with gateway(made, lambda: time.time() * 1000.0) as app:
+            async with gateway(gateway_config, lambda: time.time() * 1000.0) as app:
                 reader, writer = await connect(app.lifecycle.address)
                 writer.write(query("r1", d=300, plan="free"))
-                assert (await reader.readline())[:1] == b"-"  # the fleet has no majority here
-                assert node.connections == 0
+                assert (await reader.readline())[:1] == b"-"  # no lease without a majority of the cluster
+                assert backend.connections == 0
                 writer.close()
 
     run_with_timeout(test, TEST_TIMEOUT_S)
@@ -114,17 +110,17 @@
 def test_an_abandoned_connection_counts_until_the_server_has_closed_it(ignores_close: bool) -> None:
     async def test() -> None:
         async with CountingServer(ignores_close) as server, leased_gateways(server, "a") as (_, a):
-            server.ignores_close = True  # no answer
+            server.ignores_close = True  # it does not answer
             attempt = a.start_attempt()
             await wait_until(lambda: server.open_from("a"))
             server.ignores_close = ignores_close
-            begun = boot_time_ms()
+            aborted_at_ms = boot_time_ms()
             attempt.abort(Verdict.CANCELLED)
             await wait_until(lambda: len(a.upstream._connections) == 0)
             if ignores_close:
                 assert (a.open_connections, server.open_from("a")) == (1, 1)
             await wait_until(lambda: a.open_connections == 0)
-            assert not ignores_close or boot_time_ms() - begun >= IDLE_MS
+            assert not ignores_close or boot_time_ms() - aborted_at_ms >= IDLE_MS
             assert len(server.gateway_of_connection) == int(ignores_close)
             server.release.set()
 
@@ -133,17 +129,16 @@
 
 def test_a_connection_that_is_never_established_counts_no_longer_than_its_attempt() -> None:
     async def test() -> None:
-        with socket.socket() as full:  # nobody takes what is in its queue, and no more gets in
-            full.bind((HOST, 0))
-            full.listen(0)
-            port = full.getsockname()[1]
+        with socket.socket() as full_backlog:  # the first connection fills it, and is never accepted
+            full_backlog.bind((HOST, 0))
+            full_backlog.listen(0)
+            port = full_backlog.getsockname()[1]
             with socket.create_connection((HOST, port)):
                 async with leased_gateways(SimpleNamespace(port=port), "a") as (_, a):
                     a.leases.idle_ms = 1e7
                     attempt = a.start_attempt()
-                    await wait_until(
-                        lambda: a.upstream._pending
-                    )  # for the lease; what is dialled under it is given up soon
+                    # Waits for the lease; later dials time out soon.
+                    await wait_until(lambda: a.upstream._pending)
                     a.use_short_connect_timeout()
                     await wait_until(lambda: a.open_connections == 1)
                     attempt.abort(Verdict.CANCELLED)
@@ -183,7 +178,7 @@
             await wait_until(lambda: a.attempt_ends)
             a.leases.monotonic_ms = lambda: boot_time_ms() + 1e5
             a.use_short_connect_timeout()
-            a.start_attempt()  # before anything else could look
+            a.start_attempt()  # before any other check of the lease
             await wait_until(lambda: len(a.attempt_ends) == 2)
             assert a.attempt_ends[1].verdict is Verdict.CONNECT_FAILED
 
@@ -197,28 +192,30 @@
             await wait_until(lambda: a.attempt_ends)
             agent = a.leases.restart_agent
 
-            def report_phase(stand: str, **more: Any) -> None:
-                (read,) = [
-                    one for one in agent.poll(boot_time_ms() + 1e6, 0.0) if isinstance(one, ReadDesiredState)
+            def report_phase(phase: str, **fields: Any) -> None:
+                (read_command,) = [
+                    command
+                    for command in agent.poll(boot_time_ms() + 1e6, 0.0)
+                    if isinstance(command, ReadDesiredState)
                 ]
                 agent.answered(
                     boot_time_ms(),
-                    read,
+                    read_command,
                     ApplyResult(
                         {
                             "roll": "r",
-                            "stand": stand,
+                            "stand": phase,
                             "round": 1,
                             "told": "",
                             "process": agent.process,
                             "read_ms": 0.0,
                             "grow": 1.0,
-                            **more,
+                            **fields,
                         }
                     ),
                 )
 
-            assert a.open_connections == 1  # idle, and kept
+            assert a.open_connections == 1  # idle, and kept open
             report_phase("GRANTING", told="ready")
             await wait_until(lambda: a.open_connections == 0 and a.leases.is_empty)
             assert a.node.avoid_leadership and not a.actions
@@ -226,7 +223,7 @@
             await wait_until(lambda: a.actions == ["pause"])
             a.drained = True
             a.upstream.update_settings((), LONG_CONNECT_TIMEOUT_MS, 30_000.0, 1.0)
-            a.start_attempt()  # a client that did not hear: it is served still, and the connection given back
+            a.start_attempt()  # a late client is still served, and the connection is then closed
             await wait_until(lambda: len(a.attempt_ends) == 2 and a.leases.is_empty)
             assert a.attempt_ends[1].verdict.name == "OK"
             report_phase("UNDOING", told="resumed")
@@ -242,12 +239,12 @@
         group = LimitGroup()
         leased_gateway = LeasedGateway("A", 1, group)
         leased_gateway.leases.attach(leased_gateway.node, leased_gateway.invariants)
-        leased_gateway.leases.close()  # no checks but this test's
+        leased_gateway.leases.close()  # no checks but those of this test
         leased_gateway.node.state_machines["g0"] = SimpleNamespace(
             parts={"connections": group.limits}, index=1
         )  # type: ignore[assignment]
-        no_limits = GroupStateMachine(FLEET, TIMINGS, leased_gateway.invariants)
-        leased_gateway.node.state_machines[FLEET] = no_limits
+        fleet_state = GroupStateMachine(FLEET, TIMINGS, leased_gateway.invariants)
+        leased_gateway.node.state_machines[FLEET] = fleet_state
         leader: Any = SimpleNamespace(leading=True)
         leased_gateway.node.replicas["g0"] = leased_gateway.node.replicas[FLEET] = leader
         for server in ("gone", "used"):
@@ -257,32 +254,32 @@
                     id=server, server=server, max_connections=CONNECTION_LIMIT, idle_timeout_ms=IDLE_MS
                 ),
             )
-        other = holder_id("B/1", "b", "1")
+        other_holder = holder_id("B/1", "b", "1")
         group.limits.apply(
             0.0,
             RequestConnectionLeases(
                 id="x",
-                holder=other,
+                holder=other_holder,
                 bucket=server_bucket("used"),
                 requests=(ConnectionLeaseRequest("used", 0, 0, 1),),
             ),
         )
-        now = 0.0
-        leased_gateway.leases.update_servers(["s"])  # which nobody uses
-        while now <= REMOVAL_DELAY_MS:
+        now_ms = 0.0
+        leased_gateway.leases.update_servers(["s"])  # which no upstream uses
+        while now_ms <= REMOVAL_DELAY_MS:
             assert "gone" in group.limits.servers
-            for command in leased_gateway.leases.poll(now, now):
-                group.limits.apply(now, command)
-            now += REMOVAL_CHECK_INTERVAL_MS
+            for command in leased_gateway.leases.poll(now_ms, now_ms):
+                group.limits.apply(now_ms, command)
+            now_ms += REMOVAL_CHECK_INTERVAL_MS
         assert list(group.limits.servers) == ["s", "used"]
-        del group.limits.servers["s"]  # by a leader whose list did not name it
+        del group.limits.servers["s"]  # as by a leader whose list does not have it
         leased_gateway.leases._leases["s"][0].upstream = SimpleNamespace(
             connections_needed=1, capacity_available=lambda: None
         )
         while "s" not in group.limits.servers:
-            now += 100.0
-            assert now < 2 * REMOVAL_DELAY_MS
-            for command in leased_gateway.leases.poll(now, now):
-                leased_gateway.leases.answered(now, command, group.limits.apply(now, command))
+            now_ms += 100.0
+            assert now_ms < 2 * REMOVAL_DELAY_MS
+            for command in leased_gateway.leases.poll(now_ms, now_ms):
+                leased_gateway.leases.answered(now_ms, command, group.limits.apply(now_ms, command))
 
     run_with_timeout(test, TEST_TIMEOUT_S)
--- a/tests/gateway/cluster/test_service.py
+++ b/tests/gateway/cluster/test_service.py
@@ -1,4 +1,4 @@
-"""The cluster's settings, its admin calls, and the service around the node, for which a scripted one stands in."""
+"""Tests of the cluster's settings, its admin calls, and its service with a scripted node."""
 
 from __future__ import annotations
 
@@ -56,12 +56,12 @@
     f'[[fleet.members]]\nname = "{name}"\nhall = "h"\naddress = "{HOST}:{port}"'
     for name, port in (("a", 7001), ("b", 7002), ("c", 7003))
 )
-GOOD = 'enabled = true\nname = "f"\nfolder = "/tmp/f"'
+VALID_SECTION = 'enabled = true\nname = "f"\nfolder = "/tmp/f"'
 
 
-def written(tmp_path: Path, head: str, members: str = MEMBERS) -> Path:
+def write_operators_file(tmp_path: Path, section: str, members: str = MEMBERS) -> Path:
     path = tmp_path / "badgeryoke.toml"
-    path.write_text(f"[fleet]\n{head}\n{members}\n")
+    path.write_text(f"[fleet]\n{section}\n{members}\n")
     return path
 
 
@@ -70,16 +70,16 @@
 
 def test_a_valid_section_becomes_a_node_setup(tmp_path: Path) -> None:
     fleet = read_operators(
-        written(
+        write_operators_file(
             tmp_path,
-            f"""{GOOD}
+            f"""{VALID_SECTION}
         me = "b"\ncopies = 3\ntimings = {{ lease_ms = 4000.0 }}
         servers = {{ connections = 24, limits = {{ s1 = 8 }} }}\nforced = {{ g1 = ["a/1", "c/2"] }}""",
         )
     ).fleet
-    made = node_setup(fleet, "gw", "x1")
-    assert (made.member_id, made.replication_factor, made.timings.lease_ms) == ("b/x1", 3, 4000.0)
-    assert made.connection_limits == {"*": 24, "s1": 8} and [one.name for one in made.members] == [
+    setup = node_setup(fleet, "gw", "x1")
+    assert (setup.member_id, setup.replication_factor, setup.timings.lease_ms) == ("b/x1", 3, 4000.0)
+    assert setup.connection_limits == {"*": 24, "s1": 8} and [member.name for member in setup.members] == [
         "a",
         "b",
         "c",
@@ -88,38 +88,58 @@
 
 
 @pytest.mark.parametrize(
-    ("head", "members", "key"),
+    ("section", "members", "message"),
     [
         ("enabled = true", MEMBERS, "fleet.name: expected"),
         ('enabled = true\nname = "f"', MEMBERS, "fleet.folder: missing"),
-        (f"{GOOD}\ncopies = 2", MEMBERS, "fleet.copies: expected 3 or 5"),
-        (f"{GOOD}\ncopies = 5", MEMBERS, "fleet.members: 3 cannot hold 5"),
-        (f"{GOOD}\ngroups = 0", MEMBERS, "fleet.groups: expected 1 to"),
-        (f"{GOOD}\ncapacity = -1.0", MEMBERS, "fleet.capacity"),
-        (f'{GOOD}\ncapacity = "all"', MEMBERS, "fleet.capacity: Expected float"),
-        (f"{GOOD}\ncopy = 3", MEMBERS, "fleet.copy: unknown; did you mean fleet.copies?"),
-        (f'{GOOD}\nme = "z"', MEMBERS, "fleet.me: 'z' is no member"),
-        (GOOD, MEMBERS.replace('"b"', '"a"'), "fleet.members[1].name: 'a' stands twice"),
-        (GOOD, MEMBERS.replace("7002", "7001"), "fleet.members[0].address: '127.0.0.1:7001' stands twice"),
-        (GOOD, MEMBERS.replace(f"{HOST}:7003", "host:7003"), "fleet.members[2].address: expected IP:PORT"),
-        (GOOD, MEMBERS.replace('name = "c"', 'name = "c/1"'), "fleet.members[2].name: expected"),
-        (GOOD, MEMBERS.replace('name = "c"\n', ""), "fleet.members[2].name: missing"),
+        (f"{VALID_SECTION}\ncopies = 2", MEMBERS, "fleet.copies: expected 3 or 5"),
+        (f"{VALID_SECTION}\ncopies = 5", MEMBERS, "fleet.members: 3 cannot hold 5"),
+        (f"{VALID_SECTION}\ngroups = 0", MEMBERS, "fleet.groups: expected 1 to"),
+        (f"{VALID_SECTION}\ncapacity = -1.0", MEMBERS, "fleet.capacity"),
+        (f'{VALID_SECTION}\ncapacity = "all"', MEMBERS, "fleet.capacity: Expected float"),
+        (f"{VALID_SECTION}\ncopy = 3", MEMBERS, "fleet.copy: unknown; did you mean fleet.copies?"),
+        (f'{VALID_SECTION}\nme = "z"', MEMBERS, "fleet.me: 'z' is no member"),
+        (VALID_SECTION, MEMBERS.replace('"b"', '"a"'), "fleet.members[1].name: 'a' stands twice"),
         (
-            GOOD,
+            VALID_SECTION,
+            MEMBERS.replace("7002", "7001"),
+            "fleet.members[0].address: '127.0.0.1:7001' stands twice",
+        ),
+        (
+            VALID_SECTION,
+            MEMBERS.replace(f"{HOST}:7003", "host:7003"),
+            "fleet.members[2].address: expected IP:PORT",
+        ),
+        (VALID_SECTION, MEMBERS.replace('name = "c"', 'name = "c/1"'), "fleet.members[2].name: expected"),
+        (VALID_SECTION, MEMBERS.replace('name = "c"\n', ""), "fleet.members[2].name: missing"),
+        (
+            VALID_SECTION,
             MEMBERS.replace("hall", "haul"),
             "fleet.members[0].haul: unknown; did you mean fleet.members[0].hall?",
         ),
-        (f"{GOOD}\nmembers = 3", "", "fleet.members: expected tables"),
+        (f"{VALID_SECTION}\nmembers = 3", "", "fleet.members: expected tables"),
         (
-            f"{GOOD}\ntimings = {{ lease_ms = 100.0 }}",
+            f"{VALID_SECTION}\ntimings = {{ lease_ms = 100.0 }}",
             MEMBERS,
             "fleet.timings.lease_ms: expected two election_ms",
         ),
-        (f"{GOOD}\ntimings = {{ lease = 100.0 }}", MEMBERS, "fleet.timings.lease: unknown"),
-        (f"{GOOD}\nservers = {{ limits = {{ s1 = 0 }} }}", MEMBERS, "fleet.servers.limits.s1: expected 1 to"),
-        (f"{GOOD}\nservers = {{ connections = -1 }}", MEMBERS, "fleet.servers.connections: expected 0 to"),
-        (f'{GOOD}\nforced = {{ h1 = ["a/1"] }}', MEMBERS, "fleet.forced.h1: expected a group"),
-        (f'{GOOD}\nforced = {{ g1 = ["a"] }}', MEMBERS, "fleet.forced.g1: expected the members given up"),
+        (f"{VALID_SECTION}\ntimings = {{ lease = 100.0 }}", MEMBERS, "fleet.timings.lease: unknown"),
+        (
+            f"{VALID_SECTION}\nservers = {{ limits = {{ s1 = 0 }} }}",
+            MEMBERS,
+            "fleet.servers.limits.s1: expected 1 to",
+        ),
+        (
+            f"{VALID_SECTION}\nservers = {{ connections = -1 }}",
+            MEMBERS,
+            "fleet.servers.connections: expected 0 to",
+        ),
+        (f'{VALID_SECTION}\nforced = {{ h1 = ["a/1"] }}', MEMBERS, "fleet.forced.h1: expected a group"),
+        (
+            f'{VALID_SECTION}\nforced = {{ g1 = ["a"] }}',
+            MEMBERS,
+            "fleet.forced.g1: expected the members given up",
+        ),
     ],
     ids=[
         "no name",
@@ -147,23 +167,25 @@
     ],
 )
 def test_each_invalid_setting_is_reported_by_its_key(
-    head: str, members: str, key: str, tmp_path: Path
+    section: str, members: str, message: str, tmp_path: Path
 ) -> None:
-    with pytest.raises(OperatorsError, match=re.escape(key)):
-        read_operators(written(tmp_path, head, members))
-    off = written(tmp_path, head.replace("enabled = true", "enabled = false"), members)
-    with pytest.raises(OperatorsError, match=re.escape(key)):
-        read_operators(off, all_sections=True)  # as `check` reads it
-    assert read_operators(off).fleet is None
+    with pytest.raises(OperatorsError, match=re.escape(message)):
+        read_operators(write_operators_file(tmp_path, section, members))
+    disabled_file = write_operators_file(
+        tmp_path, section.replace("enabled = true", "enabled = false"), members
+    )
+    with pytest.raises(OperatorsError, match=re.escape(message)):
+        read_operators(disabled_file, all_sections=True)  # as the `check` command reads it
+    assert read_operators(disabled_file).fleet is None
 
 
-def test_a_gateway_that_is_no_member_does_not_start(tmp_path: Path) -> None:
-    fleet = read_operators(written(tmp_path, GOOD)).fleet
+def test_a_gateway_that_is_not_a_member_does_not_start(tmp_path: Path) -> None:
+    fleet = read_operators(write_operators_file(tmp_path, VALID_SECTION)).fleet
 
     async def test() -> None:
-        made = replace(config(1, None, roster()), name="gw-9", operators=Operators(fleet=fleet))
+        gateway_config = replace(config(1, None, roster()), name="gw-9", operators=Operators(fleet=fleet))
         with pytest.raises(ConfigError, match=r"fleet.me: 'gw-9' is no member"):
-            GatewayApplication(made)
+            GatewayApplication(gateway_config)
 
     asyncio.run(test())
 
@@ -175,14 +197,14 @@
         "print(read_operators(pathlib.Path('deploy/badgeryoke.toml')).fleet, [m for m in sys.modules "
         "if 'cluster' in m.split('.') or m in ('sqlite3', 'xxhash')])"
     )
-    said = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", script], cwd=ROOT, capture_output=True, text=True, check=True
     )
-    assert said.stdout.strip() == "None []"
+    assert completed.stdout.strip() == "None []"
 
 
 def test_the_documented_errors_match_the_error_types() -> None:
-    """docs/operators/errors.md has one row for each, in order, with the words of the code."""
+    """docs/operators/errors.md has one row for each type, in order, with the meaning and remedy from the code."""
     rows = re.findall(
         r"^\| `([a-z-]+)` \| (.*?) \| (.*?) \| (yes|no) \|$",
         (ROOT / "docs/operators/errors.md").read_text(),
@@ -190,16 +212,16 @@
     )
     assert rows == [
         (
-            one.code,
-            " ".join((one.__doc__ or "").split()).rstrip("."),
-            one.remedy,
-            "yes" if one.is_retryable else "no",
+            error_type.code,
+            " ".join((error_type.__doc__ or "").split()).rstrip("."),
+            error_type.remedy,
+            "yes" if error_type.is_retryable else "no",
         )
-        for one in errors.ALL_ERRORS
+        for error_type in errors.ALL_ERRORS
     ]
-    assert all(one.code and one.remedy for one in errors.ALL_ERRORS)
-    assert sorted(one.code for one in errors.ClusterError.__subclasses__()) == sorted(
-        one.code for one in errors.ALL_ERRORS
+    assert all(error_type.code and error_type.remedy for error_type in errors.ALL_ERRORS)
+    assert sorted(error_type.code for error_type in errors.ClusterError.__subclasses__()) == sorted(
+        error_type.code for error_type in errors.ALL_ERRORS
     )
 
 
@@ -207,7 +229,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "whom", "what"),
+    ("raw", "subject", "detail"),
     [
         (b"", "call", "expected one JSON object"),
         (b"{", "call", "expected one JSON object"),
@@ -243,20 +265,26 @@
         "field out of bounds",
     ],
 )
-def test_an_invalid_call_is_answered_with_the_key_at_fault(raw: bytes, whom: str, what: str) -> None:
-    read = parse_call(raw)
-    assert isinstance(read, errors.InvalidCall) and read.subject == whom and what in read.detail
-    said = json.loads(format_answer(read).removeprefix(b"-ERR "))
-    assert said["error"] == "bad-call" and said["do"] == errors.InvalidCall.remedy and said["whom"] == whom
+def test_an_invalid_call_is_answered_with_the_key_at_fault(raw: bytes, subject: str, detail: str) -> None:
+    parsed = parse_call(raw)
+    assert isinstance(parsed, errors.InvalidCall) and parsed.subject == subject and detail in parsed.detail
+    answer = json.loads(format_answer(parsed).removeprefix(b"-ERR "))
+    assert (
+        answer["error"] == "bad-call"
+        and answer["do"] == errors.InvalidCall.remedy
+        and answer["whom"] == subject
+    )
 
 
 def test_calls_are_accepted_by_alias_and_in_any_case() -> None:
     put = PutValue(id="1", name="n", value="v")
-    for word in ("put", "Promise", "promise"):
-        assert parse_call(json.dumps({"do": word, "id": "1", "name": "n", "value": "v"}).encode()) == put
-    for word in ("get", "PromiseRead", "promise-read", "promise_read"):
-        read = parse_call(json.dumps({"do": word, "name": "n"}).encode())
-        assert not isinstance(read, StatusRequest | errors.ClusterError) and read.is_read_only and read.id
+    for name in ("put", "Promise", "promise"):
+        assert parse_call(json.dumps({"do": name, "id": "1", "name": "n", "value": "v"}).encode()) == put
+    for name in ("get", "PromiseRead", "promise-read", "promise_read"):
+        parsed = parse_call(json.dumps({"do": name, "name": "n"}).encode())
+        assert (
+            not isinstance(parsed, StatusRequest | errors.ClusterError) and parsed.is_read_only and parsed.id
+        )
     assert parse_call(b'{"do": "Status"}') == StatusRequest()
     assert format_answer(ApplyResult({"a": 1})) == b'+OK {"a":1}\n'
 
@@ -275,7 +303,7 @@
                 if isinstance(event, ClusterCall):
                     assert isinstance(event.command, PutValue)
                     return [
-                        LogEvent("warning", "asked", {"of": event.command.name}),
+                        LogEvent("warning", "received", {"name": event.command.name}),
                         PersistRecords("g", 1, (HardState(1, "a/1"),)),
                         PersistRecords("h", 2, (HardState(2, ""),)),
                         SendMessage("b/1", RequestVoteReply("g", 1, True, False)),
@@ -298,7 +326,7 @@
                 RecordsPersisted("h", 2),
             ]
             assert service.running is not None
-            assert service.running.writer.transactions == 1 and "asked: of n" in caplog.text
+            assert service.running.writer.transactions == 1 and "received: name n" in caplog.text
             assert service.running.transport.status().keys() == {"b", "c"}
             service.running.on_messages("b/1", (RequestVoteReply("g", 1, True, False),))
             assert node.events_of_type(MessageReceived) == [
@@ -315,19 +343,19 @@
 def test_a_tick_is_delivered_when_the_node_is_due(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_service(tmp_path) as (service, node):
-            before = len(node.events_of_type(Tick))
+            ticks_before = len(node.events_of_type(Tick))
 
             def effects_of(event: Any) -> list[Any]:
                 node.due = (
                     service.clock.monotonic_ms() + 5.0
-                    if len(node.events_of_type(Tick)) < before + 3
+                    if len(node.events_of_type(Tick)) < ticks_before + 3
                     else math.inf
                 )
                 return []
 
             node.effects_of = effects_of
             feed(service, Tick())
-            await until(lambda: len(node.events_of_type(Tick)) == before + 3)
+            await until(lambda: len(node.events_of_type(Tick)) == ticks_before + 3)
             assert service.running is not None and not service.running.timer_armed
 
     run_with_timeout(test)
@@ -347,10 +375,10 @@
             await service.leave()
             await service.leave()
             assert len(node.events_of_type(LeaveCluster)) == 1
-            asked = asyncio.ensure_future(service.call(PutValue(id="2", name="n", value="v")))
+            pending_call = asyncio.ensure_future(service.call(PutValue(id="2", name="n", value="v")))
             await until(lambda: len(node.events_of_type(ClusterCall)) == 2)
             service.close()
-            assert isinstance(await asked, errors.UnknownOutcome)
+            assert isinstance(await pending_call, errors.UnknownOutcome)
             assert isinstance(await service.call(PutValue(id="2", name="n", value="v")), errors.NoLeader)
 
     run_with_timeout(test)
@@ -359,7 +387,7 @@
 def breaking_an_invariant(node: ScriptedNode) -> Callable[[Any], list[Any]]:
     def effects_of(event: Any) -> list[Any]:
         node.invariants.check(Rule.VOTE_ONCE, False, lambda: "two in term 3")
-        return [OperationCompleted("a.1", ApplyResult("a lie"))]
+        return [OperationCompleted("a.1", ApplyResult("not delivered"))]
 
     return effects_of
 
@@ -372,39 +400,39 @@
 
 
 @pytest.mark.parametrize(
-    ("way", "word"),
+    ("make_effects_of", "detail"),
     [(breaking_an_invariant, "VOTE_ONCE"), (raising_an_exception, "see the log for the cause")],
     ids=["invariant", "exception"],
 )
 def test_a_broken_invariant_or_an_exception_stops_the_member_alone(
-    way: Callable[[ScriptedNode], Callable[[Any], list[Any]]], word: str, tmp_path: Path
+    make_effects_of: Callable[[ScriptedNode], Callable[[Any], list[Any]]], detail: str, tmp_path: Path
 ) -> None:
-    """What it wanted done behind the broken rule is not done; calls under way are told that nobody knows."""
+    """The effects of the failed event are not carried out, and pending calls end with UnknownOutcome."""
 
     async def test() -> None:
         async with running_service(tmp_path) as (service, node):
-            node.effects_of = way(node)
+            node.effects_of = make_effects_of(node)
             assert isinstance(
                 await service.call(PutValue(id="1", name="n", value="v")), errors.UnknownOutcome
             )
-            after = await service.call(PutValue(id="1", name="n", value="v"))
-            assert isinstance(after, errors.InvariantBroken) and word in after.detail
-            events = len(node.events)
+            result = await service.call(PutValue(id="1", name="n", value="v"))
+            assert isinstance(result, errors.InvariantBroken) and detail in result.detail
+            event_count = len(node.events)
             feed(service, Tick())
-            assert len(node.events) == events
-            said = json.loads((await service.answer(b'{"do": "status"}')).removeprefix(b"+OK "))
-            assert "invariant-broken" in said["errors"][0]
+            assert len(node.events) == event_count
+            status = json.loads((await service.answer(b'{"do": "status"}')).removeprefix(b"+OK "))
+            assert "invariant-broken" in status["errors"][0]
 
     run_with_timeout(test)
 
 
 def test_a_storage_failure_is_fed_to_the_node_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    def full(*_: Any) -> None:
+    def raise_disk_full(*_: Any) -> None:
         raise OSError(28, "No space left on device")
 
     async def test() -> None:
         async with running_service(tmp_path) as (service, node):
-            monkeypatch.setattr(ClusterStorage, "write", full)
+            monkeypatch.setattr(ClusterStorage, "write", raise_disk_full)
             node.effects_of = lambda event: [PersistRecords("g", 1, (HardState(1, ""),))]
             feed(service, Tick())
             feed(service, Tick())
@@ -426,51 +454,51 @@
     monkeypatch.setattr(startup_module, "RETRY_INTERVAL_S", 0.01)
 
     async def test() -> None:
-        held = open_storage(tmp_path / "s", "f", "a")
-        assert isinstance(held, ClusterStorage)
+        locked_storage = open_storage(tmp_path / "s", "f", "a")
+        assert isinstance(locked_storage, ClusterStorage)
         service = ClusterService(cluster_settings(tmp_path), "a", node_factory=ScriptedNode)
         service.start()
         assert isinstance(await service.call(PutValue(id="1", name="n", value="v")), errors.NoLeader)
         await asyncio.sleep(0.05)
         assert service.node is None
-        held.close()
+        locked_storage.close()
         await until(lambda: service.node is not None)
         service.close()
-        other = ClusterService(cluster_settings(tmp_path, name="other"), "a", node_factory=ScriptedNode)
-        other.start()
-        await until(lambda: other.failure is not None)
-        assert isinstance(other.failure, errors.ClusterMismatch)
-        other.close()
+        mismatched_service = ClusterService(
+            cluster_settings(tmp_path, name="other"), "a", node_factory=ScriptedNode
+        )
+        mismatched_service.start()
+        await until(lambda: mismatched_service.failure is not None)
+        assert isinstance(mismatched_service.failure, errors.ClusterMismatch)
+        mismatched_service.close()
 
     run_with_timeout(test)
 
 
-def test_a_group_is_forced_to_go_on_without_its_majority_once(
-    tmp_path: Path, caplog: pytest.LogCaptureFixture
-) -> None:
-    me, others = "a/x1", ("b/1", "c/1")
-    disk = open_storage(tmp_path / "s", "f", "a", new_incarnation=lambda: "x1")
-    assert isinstance(disk, ClusterStorage)
-    disk.write(
+def test_forced_recovery_of_a_group_is_applied_once(tmp_path: Path, caplog: pytest.LogCaptureFixture) -> None:
+    own_id, other_ids = "a/x1", ("b/1", "c/1")
+    storage = open_storage(tmp_path / "s", "f", "a", new_incarnation=lambda: "x1")
+    assert isinstance(storage, ClusterStorage)
+    storage.write(
         [
             PersistRecords(
                 "g1",
                 0,
                 (
                     HardState(4, ""),
-                    Snapshot(1, 1, GroupConfiguration((me, *others)), b""),
+                    Snapshot(1, 1, GroupConfiguration((own_id, *other_ids)), b""),
                     Entries((LogEntry(2, 4, EntryKind.NOTHING, b""),)),
                 ),
             )
         ]
     )
-    disk.close()
+    storage.close()
 
     async def test() -> None:
-        for words, count in (("forced recovery", 4), ("applied already", 4)):
-            async with running_service(tmp_path, forced={"g1": others, "g2": others}) as (_, node):
-                assert words in caplog.text and "fleet.forced.g2: this member has no replica" in caplog.text
-                assert node.saved["g1"].voted_for == me and len(node.saved["g1"].entries) == count
+        for message, entry_count in (("forced recovery", 4), ("applied already", 4)):
+            async with running_service(tmp_path, forced={"g1": other_ids, "g2": other_ids}) as (_, node):
+                assert message in caplog.text and "fleet.forced.g2: this member has no replica" in caplog.text
+                assert node.saved["g1"].voted_for == own_id and len(node.saved["g1"].entries) == entry_count
             caplog.clear()
 
     run_with_timeout(test)
@@ -480,66 +508,72 @@
 
 
 @contextlib.contextmanager
-def scripted(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def scripted_cluster_node(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     with monkeypatch.context() as patched:
         patched.setattr(service_module, "ClusterNode", ScriptedNode)
         yield
 
 
-async def call(app: GatewayApplication, line: bytes) -> bytes:
+async def admin_call(app: GatewayApplication, line: bytes) -> bytes:
     reader, writer = await connect(app.lifecycle.admin_address)
     writer.write(line)
-    said = await reader.read()
+    answer = await reader.read()
     writer.close()
-    return said
+    return answer
 
 
 def test_the_admin_address_takes_fleet_calls_and_shutdown_waits_for_the_node(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
-        async with Backend() as node, Discovery(entry("a", node.port)) as list_:
-            made = replace(
-                config(list_.port, None, roster(entry("a", node.port))), mgmt=(HOST, 0), drain_s=0.01
+        async with Backend() as backend, Discovery(entry("a", backend.port)) as discovery:
+            gateway_config = replace(
+                config(discovery.port, None, roster(entry("a", backend.port))), mgmt=(HOST, 0), drain_s=0.01
             )
-            async with gateway(made) as app:
-                assert (await call(app, b"FLEET {}\n")).startswith(b"-ERR fleet is off:")
-                assert await call(app, b"FLEET " + b"x" * 300 + b"\n") == await call(app, b"FLEET\n")
-            made = replace(made, name="a", operators=Operators(fleet=cluster_settings(tmp_path)))
-            async with gateway(made) as app:
+            async with gateway(gateway_config) as app:
+                assert (await admin_call(app, b"FLEET {}\n")).startswith(b"-ERR fleet is off:")
+                assert await admin_call(app, b"FLEET " + b"x" * 300 + b"\n") == await admin_call(
+                    app, b"FLEET\n"
+                )
+            gateway_config = replace(
+                gateway_config, name="a", operators=Operators(fleet=cluster_settings(tmp_path))
+            )
+            async with gateway(gateway_config) as app:
                 await until(lambda: app.parts.cluster is not None and app.parts.cluster.node is not None)
                 assert app.parts.cluster is not None
-                script = app.parts.cluster.node
-                assert isinstance(script, ScriptedNode)
-                script.effects_of = lambda event: (
+                scripted_node = app.parts.cluster.node
+                assert isinstance(scripted_node, ScriptedNode)
+                scripted_node.effects_of = lambda event: (
                     [OperationCompleted("a.1", ApplyResult([1]))]
                     if isinstance(event, ClusterCall)
                     else [OperationCompleted(event.token, None)]
                     if isinstance(event, LeaveCluster)
                     else []
                 )
-                long = json.dumps({"do": "put", "id": "1", "name": "n", "value": "v" * 1000}).encode()
-                assert await call(app, b"FLEET " + long + b"\n") == b"+OK [1]\n"
+                long_call = json.dumps({"do": "put", "id": "1", "name": "n", "value": "v" * 1000}).encode()
+                assert await admin_call(app, b"FLEET " + long_call + b"\n") == b"+OK [1]\n"
                 for line in (b"FLEET " + b"x" * 70_000 + b"\n", b"y" * 300 + b"\n", b"y" * 300):
-                    assert await call(app, line) == b"-ERR line too long\n"
-                assert (await call(app, b"FLEET {}\n")).startswith(b'-ERR {"error":"bad-call","whom":"do"')
+                    assert await admin_call(app, line) == b"-ERR line too long\n"
+                assert (await admin_call(app, b"FLEET {}\n")).startswith(
+                    b'-ERR {"error":"bad-call","whom":"do"'
+                )
                 app.end()
                 await app.done.wait()
-                assert len(script.events_of_type(LeaveCluster)) == 1
-                again = open_storage(tmp_path / "s", "f", "a")  # let go
-                assert isinstance(again, ClusterStorage)
-                again.close()
+                assert len(scripted_node.events_of_type(LeaveCluster)) == 1
+                reopened_storage = open_storage(tmp_path / "s", "f", "a")  # its lock was released
+                assert isinstance(reopened_storage, ClusterStorage)
+                reopened_storage.close()
 
-    with scripted(monkeypatch):
+    with scripted_cluster_node(monkeypatch):
         run_with_timeout(test)
 
 
 def test_a_closed_writer_ignores_requests(tmp_path: Path) -> None:
-    disk = open_storage(tmp_path / "s", "f", "a")
-    assert isinstance(disk, ClusterStorage)
-    writer = StorageWriter(disk, lambda *_: None, lambda _: None, lambda _: None)
+    storage = open_storage(tmp_path / "s", "f", "a")
+    assert isinstance(storage, ClusterStorage)
+    writer = StorageWriter(storage, lambda *_: None, lambda _: None, lambda _: None)
     writer.close(10)
     writer.submit([PersistRecords("g", 1, (HardState(1, ""),))])
-    again = open_storage(tmp_path / "s", "f", "a")
-    assert isinstance(again, ClusterStorage) and not again.persisted_groups
-    again.close()
+    reopened_storage = open_storage(tmp_path / "s", "f", "a")
+    assert isinstance(reopened_storage, ClusterStorage) and not reopened_storage.persisted_groups
+    reopened_storage.close()
--- a/tests/gateway/cluster/test_storage.py
+++ b/tests/gateway/cluster/test_storage.py
@@ -1,4 +1,4 @@
-"""Stable storage of a member: what was acknowledged is read back as written, or reported as damaged."""
+"""Tests of a member's stable storage: acknowledged writes are read back unchanged, or damage is reported."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
 
 @pytest.fixture
 def storage(tmp_path: Path) -> Iterator[ClusterStorage]:
-    made = open_existing(tmp_path / "s")
-    yield made
-    made.close()
+    opened = open_existing(tmp_path / "s")
+    yield opened
+    opened.close()
 
 
 # Reading back
 
 
 @pytest.mark.parametrize(
-    ("records", "saved"),
+    ("records", "expected"),
     [
         ([HardState(3, "b/1")], PersistedGroup(3, "b/1")),
         ([entries(1, 5)], PersistedGroup(entries=entries(1, 5).entries)),
@@ -52,7 +52,7 @@
             [entries(1, 5), Snapshot(3, 1, CONFIG, b"x")],
             PersistedGroup(snapshot=Snapshot(3, 1, CONFIG, b"x"), entries=entries(4, 5).entries),
         ),
-        # The log holds another entry where the snapshot ends: nothing behind it can stand.
+        # The log has a different entry at the snapshot's index, so no later entry is valid.
         (
             [entries(1, 5), Snapshot(3, 2, CONFIG, b"x")],
             PersistedGroup(snapshot=Snapshot(3, 2, CONFIG, b"x")),
@@ -90,9 +90,9 @@
     ],
 )
 def test_records_are_read_back_as_written(
-    storage: ClusterStorage, records: list[Record], saved: PersistedGroup
+    storage: ClusterStorage, records: list[Record], expected: PersistedGroup
 ) -> None:
-    """One transaction a record, and all records in one."""
+    """Written with one transaction for each record, and in one transaction for all."""
     for record in records:
         write_records(storage, "g", record)
     write_records(storage, "h", *records)
@@ -100,11 +100,11 @@
     write_records(storage, "gone", DiscardGroup())
     reopened_storage = reopened(storage)
     assert (
-        reopened_storage.persisted_groups == {"g": saved, "h": saved}
+        reopened_storage.persisted_groups == {"g": expected, "h": expected}
         and reopened_storage.incarnation == "1"
         and not reopened_storage.faults
     )
-    write_records(reopened_storage, "g", HardState(9, "z/1"))  # the chain goes on from what was read
+    write_records(reopened_storage, "g", HardState(9, "z/1"))  # the chain continues from the stored checksum
     last = (
         reopened_storage.persisted_groups["g"].entries[-1].index
         if reopened_storage.persisted_groups["g"].entries
@@ -140,8 +140,9 @@
 # Damage
 
 
-def filled(folder: Path, count: int = 60) -> dict[str, PersistedGroup]:
-    """A store as a killed process leaves it: a part brought in, a part in the write-ahead log."""
+def make_filled_store(folder: Path, count: int = 60) -> dict[str, PersistedGroup]:
+    """Make a store in `dead` as a killed process leaves it, partly checkpointed and partly in the write-ahead log;
+    returns its groups."""
     storage = open_existing(folder / "live")
     for n in range(1, count + 1):
         storage.write(
@@ -163,51 +164,50 @@
     ids=["database", "write-ahead log", "acknowledged counter"],
 )
 def test_a_flipped_bit_is_reported_as_damage_or_changes_nothing(tmp_path: Path, name: str) -> None:
-    """Never anything between: no entry, vote or snapshot differs from what was written, and none is missing."""
-    saved = filled(tmp_path)
+    """No entry, vote or snapshot is ever read back with a difference, or left out without a report."""
+    expected = make_filled_store(tmp_path)
     raw = (tmp_path / "dead" / name).read_bytes()
-    chance, damaged_stores = random.Random(7), 0
+    rng, damaged_stores = random.Random(7), 0
     for attempt in range(70 if name != ACKNOWLEDGED_FILE else 12):
         folder = tmp_path / str(attempt)
         shutil.copytree(tmp_path / "dead", folder)
-        damaged, bit = bytearray(raw), chance.randrange(len(raw) * 8)
+        damaged, bit = bytearray(raw), rng.randrange(len(raw) * 8)
         damaged[bit // 8] ^= 1 << bit % 8
         (folder / name).write_bytes(damaged)
         reopened_storage = open_existing(folder, incarnation="2")
         if reopened_storage.incarnation == "1":
-            assert reopened_storage.persisted_groups == saved and not reopened_storage.faults, bit
+            assert reopened_storage.persisted_groups == expected and not reopened_storage.faults, bit
         else:
             damaged_stores += 1
             assert not reopened_storage.persisted_groups and [
-                type(one) for one in reopened_storage.faults
+                type(fault) for fault in reopened_storage.faults
             ] == [errors.StorageDamaged], bit
-            [kept] = folder.glob("damaged-*")
-            assert (kept / DATABASE_FILE).exists()
+            [damaged_directory] = folder.glob("damaged-*")
+            assert (damaged_directory / DATABASE_FILE).exists()
             write_records(reopened_storage, "g", entries(1, 2))
         reopened_storage.close()
         shutil.rmtree(folder)
     assert damaged_stores > 5
 
 
-def cut_at(folder: Path, keep: int) -> None:
+def truncate_wal(folder: Path, size: int) -> None:
     wal = folder / WAL_FILE
-    wal.write_bytes(wal.read_bytes()[:keep])
+    wal.write_bytes(wal.read_bytes()[:size])
 
 
 def test_a_torn_wal_tail_is_cut_unless_it_was_acknowledged(tmp_path: Path) -> None:
     storage = open_existing(tmp_path / "live")
     write_records(storage, "g", entries(1, 4))
     acknowledged = (tmp_path / "live" / ACKNOWLEDGED_FILE).read_bytes()
-    before = (tmp_path / "live" / WAL_FILE).stat().st_size
+    size_before = (tmp_path / "live" / WAL_FILE).stat().st_size
     write_records(storage, "g", entries(5, 6))
-    for name, keep in (("torn", before + 900), ("flipped", 0)):
+    for name, size in (("torn", size_before + 900), ("flipped", 0)):
         shutil.copytree(tmp_path / "live", tmp_path / name, ignore=shutil.ignore_patterns("*-shm", "lock"))
-        if keep:
-            cut_at(tmp_path / name, keep)
+        if size:
+            truncate_wal(tmp_path / name, size)
     storage.close()
-    (tmp_path / "torn" / ACKNOWLEDGED_FILE).write_bytes(
-        acknowledged
-    )  # the power went between the tear and the answer
+    # The machine crashed before the torn write was acknowledged.
+    (tmp_path / "torn" / ACKNOWLEDGED_FILE).write_bytes(acknowledged)
     torn = open_existing(tmp_path / "torn", incarnation="2")
     assert (
         torn.incarnation == "1"
@@ -215,16 +215,16 @@
         and not torn.faults
     )
     torn.close()
-    cut_at(tmp_path / "flipped", before + 900)  # acknowledged, and gone
-    gone = open_existing(tmp_path / "flipped", incarnation="2")
-    assert gone.incarnation == "2" and "acknowledged" in gone.faults[0].detail
-    gone.close()
+    truncate_wal(tmp_path / "flipped", size_before + 900)  # the acknowledged transaction is lost
+    damaged = open_existing(tmp_path / "flipped", incarnation="2")
+    assert damaged.incarnation == "2" and "acknowledged" in damaged.faults[0].detail
+    damaged.close()
 
 
 def test_two_commits_behind_a_broken_wal_frame_are_damage_without_the_acknowledged_counter(
     tmp_path: Path,
 ) -> None:
-    """After the machine's death the count may be old: two commits behind a break are no tear."""
+    """After a crash of the machine the counter may be old, but two commits after an invalid frame are no torn tail."""
     storage = open_existing(tmp_path / "live")
     acknowledged = (tmp_path / "live" / ACKNOWLEDGED_FILE).read_bytes()
     sizes = []
@@ -263,18 +263,18 @@
 
 
 def test_a_directory_is_opened_by_one_process_of_its_own_member_and_cluster(storage: ClusterStorage) -> None:
-    held = open_storage(storage.directory, "f", "a")
-    assert isinstance(held, StorageLocked) and isinstance(held.error, errors.StorageFailed)
-    assert "another process" in held.error.detail
+    locked = open_storage(storage.directory, "f", "a")
+    assert isinstance(locked, StorageLocked) and isinstance(locked.error, errors.StorageFailed)
+    assert "another process" in locked.error.detail
     storage.close()
-    for fleet, member in (("other", "a"), ("f", "b")):
-        assert isinstance(open_storage(storage.directory, fleet, member), errors.ClusterMismatch)
+    for cluster, member in (("other", "a"), ("f", "b")):
+        assert isinstance(open_storage(storage.directory, cluster, member), errors.ClusterMismatch)
     reopened_storage = open_existing(storage.directory)
     assert reopened_storage.incarnation == "1"
     reopened_storage.close()
     (storage.directory / DATABASE_FILE).rename(storage.directory / "store-99.db")
-    later = open_storage(storage.directory, "f", "a")
-    assert isinstance(later, errors.StorageFailed) and "store-99.db" in later.detail
+    newer = open_storage(storage.directory, "f", "a")
+    assert isinstance(newer, errors.StorageFailed) and "store-99.db" in newer.detail
 
 
 def test_a_directory_that_cannot_be_created_is_an_error(tmp_path: Path) -> None:
@@ -282,7 +282,7 @@
     assert isinstance(open_storage(tmp_path / "file" / "s", "f", "a"), errors.StorageFailed)
 
 
-# The writer thread
+# Writer thread
 
 
 class WriterObserver:
@@ -313,20 +313,22 @@
 def test_pending_requests_share_one_transaction_and_are_acknowledged_in_order(
     storage: ClusterStorage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gate, write = threading.Event(), ClusterStorage.write
-    monkeypatch.setattr(ClusterStorage, "write", lambda self, batch: (gate.wait(10), write(self, batch))[1])
+    write_allowed, write = threading.Event(), ClusterStorage.write
+    monkeypatch.setattr(
+        ClusterStorage, "write", lambda self, batch: (write_allowed.wait(10), write(self, batch))[1]
+    )
 
     async def test() -> None:
         observer = WriterObserver(storage)
-        stores = [PersistRecords(f"g{n % 3}", n, (HardState(n, ""),)) for n in range(40)]
-        for one in stores:
-            observer.writer.submit([one])
+        requests = [PersistRecords(f"g{n % 3}", n, (HardState(n, ""),)) for n in range(40)]
+        for request in requests:
+            observer.writer.submit([request])
         await asyncio.sleep(0)
-        assert not observer.persisted  # the disk hangs, the loop does not
-        gate.set()
+        assert not observer.persisted  # the disk hangs, and does not block the event loop
+        write_allowed.set()
         await observer.until(40)
         assert (
-            observer.persisted == [RecordsPersisted(one.group, one.sequence) for one in stores]
+            observer.persisted == [RecordsPersisted(request.group, request.sequence) for request in requests]
             and observer.writer.transactions == 2
         )
         observer.writer.submit([PersistRecords("last", 1, (HardState(1, "a/1"),))])
@@ -348,7 +350,7 @@
         for n in range(1, 100):
             observer.writer.submit([PersistRecords("g", n, (entries(n, n, size=4000),))])
             await observer.until(n)
-        assert [type(one) for one in observer.failures] == [
+        assert [type(error) for error in observer.failures] == [
             errors.StorageFailed
         ] and "full" in observer.failures[0].detail
         observer.writer.submit([PersistRecords("g", 100, (HardState(1, ""),))])
@@ -368,15 +370,15 @@
     storage: ClusterStorage, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("badgeryoke.gateway.cluster.storage.writer.MAX_PENDING_BYTES", 10_000)
-    gate = threading.Event()
-    monkeypatch.setattr(ClusterStorage, "write", lambda self, batch: gate.wait(10))
+    write_allowed = threading.Event()
+    monkeypatch.setattr(ClusterStorage, "write", lambda self, batch: write_allowed.wait(10))
 
     async def test() -> None:
         observer = WriterObserver(storage)
         for n in range(30):
             observer.writer.submit([PersistRecords("g", n, (entries(n, n, size=1000),))])
         assert len(observer.failures) == 1 and not observer.persisted
-        gate.set()
+        write_allowed.set()
         observer.writer.close(10)
 
     asyncio.run(test())
