--- a/badgeryoke/gateway/cluster/connection_leases.py
+++ b/badgeryoke/gateway/cluster/connection_leases.py
@@ -70,7 +70,7 @@
         return self._duties.agent if self._duties is not None else None
 
     def attach(self, node: object, invariants: Invariants) -> None:
-        """Use a started node; this process has to hold the lock on the member's directory.
+        """Connect to the cluster's node; this process must hold the lock on the member's directory.
 
         A test's replacement for the node gets no leases.
         """
