--- a/badgeryoke/gateway/cluster/storage/verification.py
+++ b/badgeryoke/gateway/cluster/storage/verification.py
@@ -1,4 +1,4 @@
-"""Reading a store back at its opening, with every checksum compared."""
+"""Reading a store back when it is opened, with all checksums verified."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredState:
-    """All that a store holds."""
+    """The contents of a store."""
 
     row: StoreRow
     group_rows: dict[str, GroupRow]
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class _GroupLog:
-    """The entries of a group, and the checksum that their chain ends on."""
+    """The entries of a group, and the checksum of the last one."""
 
     entries: list[LogEntry]
     chain_checksum: int
@@ -41,10 +41,10 @@
 def read_stored_state(
     database: sqlite3.Connection, acknowledged: AcknowledgedCounter, directory: Path
 ) -> StoredState:
-    """Read all of a store.
+    """Read a whole store.
 
-    Raises DamagedRecord, sqlite3.Error, msgspec.DecodeError, UnicodeDecodeError or TypeError where it does not read as
-    written, OSError where it cannot be read.
+    Raises DamagedRecord, sqlite3.Error, msgspec.DecodeError, UnicodeDecodeError or TypeError if it is damaged, and
+    OSError if it cannot be read.
     """
     database.execute("BEGIN")
     _check_pages(database)
@@ -58,7 +58,7 @@
     }
     if (acknowledged_number := acknowledged.read()) > row.transaction_number:
         raise DamagedRecord(
-            f"{acknowledged_number} transactions were acknowledged, {row.transaction_number} are there"
+            f"{acknowledged_number} transactions were acknowledged, only {row.transaction_number} are stored"
         )
     check_write_ahead_log(directory)
     database.execute("COMMIT")
@@ -77,7 +77,7 @@
         row = StoreRow(*rows[0][:-1])
         if row.columns() == rows[0]:
             return row
-    raise DamagedRecord("the store's own row does not read as written")
+    raise DamagedRecord("the store's own row is corrupt")
 
 
 def _read_group_rows(database: sqlite3.Connection, store_row: StoreRow) -> dict[str, GroupRow]:
@@ -86,7 +86,7 @@
     for group, *columns in database.execute("SELECT * FROM part ORDER BY grp"):
         row = group_rows[group] = GroupRow(*columns)
         if row.expected_checksum(group) != row.row_checksum:
-            raise DamagedRecord(f"group {group!r}: its row does not read as written")
+            raise DamagedRecord(f"group {group!r}: its row is corrupt")
         groups_checksum ^= row.row_checksum
     if groups_checksum != store_row.groups_checksum:
         raise DamagedRecord("a group's row is missing")
@@ -102,7 +102,7 @@
             or row.snapshot_checksum != snapshot_checksum(index, term, configuration, body)
             or row.snapshot_index != index
         ):
-            raise DamagedRecord(f"group {group!r}: its snapshot does not read as written")
+            raise DamagedRecord(f"group {group!r}: its snapshot is corrupt")
         decoded = msgspec.msgpack.decode(configuration, type=GroupConfiguration)
         snapshots[group] = Snapshot(index, term, decoded, body)
     return snapshots
@@ -115,7 +115,7 @@
     ):
         row = group_rows.get(group)
         if row is None:
-            raise DamagedRecord(f"group {group!r}: entries without its row")
+            raise DamagedRecord(f"group {group!r}: it has entries but no row")
         log = logs.get(group)
         if log is None:
             log = logs[group] = _GroupLog([], row.chain_start_checksum)
@@ -123,7 +123,7 @@
         log.chain_checksum = entry_checksum(entry, log.chain_checksum)
         expected_index = row.snapshot_index + len(log.entries) + 1
         if log.chain_checksum != stored_checksum or index != expected_index:
-            raise DamagedRecord(f"group {group!r}: entry {index} does not read as written")
+            raise DamagedRecord(f"group {group!r}: entry {index} is corrupt")
         log.entries.append(entry)
     return logs
 
@@ -135,7 +135,7 @@
         log = _GroupLog([], row.chain_start_checksum)
     last_index = row.snapshot_index + len(log.entries)
     if (last_index, log.chain_checksum) != (row.last_index, row.last_checksum):
-        raise DamagedRecord(f"group {group!r}: its log ends at {last_index}, written to {row.last_index}")
+        raise DamagedRecord(f"group {group!r}: its log ends at entry {last_index}, not at {row.last_index}")
     if row.snapshot_index > 0 and snapshot is None:
         raise DamagedRecord(f"group {group!r}: its snapshot is missing")
     return PersistedGroup(row.term, row.vote, snapshot, tuple(log.entries))
