--- a/tests/gateway/test_operations.py
+++ b/tests/gateway/test_operations.py
@@ -28,7 +28,7 @@
 from badgeryoke.gateway.metrics import Metrics
 from badgeryoke.gateway.resp import client_connection as client_connection_module
 from tests.decisions.test_simulator_adapter import PARAMS
-from tests.support.running import ask, run_test, until
+from tests.support.running import TEST_TIMEOUT_S, ask, run_test, until
 from tests.support.stand_ins import (
     HOST,
     Backend,
@@ -126,11 +126,17 @@
     async def test() -> None:
         async with Discovery() as discovery:
             discovery.raw = [b"no list"]
-            async with gateway(replace(config(discovery.port, None), mgmt=(HOST, 0), drain_s=0.05)) as app:
-                assert await call(app) == ["-ERR no list of servers yet"]
-                app.end()
-                assert await call(app) == ["-ERR leaving"]
-                assert (await call(app, b"RESUME\n"))[0].startswith("-ERR")
+            # The notice period outlasts the test, which ends it itself: the gateway stays in the state under test.
+            made = replace(config(discovery.port, None), mgmt=(HOST, 0), drain_s=TEST_TIMEOUT_S)
+            async with gateway(made) as app:
+                try:
+                    assert await call(app) == ["-ERR no list of servers yet"]
+                    app.end()
+                    assert await call(app) == ["-ERR leaving"]
+                    assert (await call(app, b"RESUME\n"))[0].startswith("-ERR")
+                finally:
+                    app.end()
+                    app.lifecycle.post(ShutdownEvent.NOTICE_ELAPSED)
 
     run_test(test)
 
