--- a/badgeryoke/testbed/cluster_simulation/fault_plan.py
+++ b/badgeryoke/testbed/cluster_simulation/fault_plan.py
@@ -12,7 +12,7 @@
 from functools import partial
 from random import Random
 
-from badgeryoke.testbed.scenario.model import STANDS, ContractText, Fault, RollText
+from badgeryoke.testbed.scenario.model import ROLLING_RESTART_STATES, ContractText, Fault, RollText
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,7 +122,7 @@
 def _kills(seed: int) -> tuple[str, ...]:
     """At which of a roll's steps its scheduler is killed: at none in half of the plans."""
     rng = Random(f"plan/{seed}/kills")
-    return tuple(rng.sample(STANDS, rng.randint(1, 3))) if rng.random() < 0.5 else ()
+    return tuple(rng.sample(ROLLING_RESTART_STATES, rng.randint(1, 3))) if rng.random() < 0.5 else ()
 
 
 def _split(rng: Random, members: int, least: int = 1) -> tuple[tuple[int, ...], tuple[int, ...]]:
--- a/badgeryoke/testbed/cluster_simulation/generated_plans.py
+++ b/badgeryoke/testbed/cluster_simulation/generated_plans.py
@@ -27,13 +27,13 @@
     @property
     def names(self) -> list[str]:
         """Of all that was found wrong, each once."""
-        return list(dict.fromkeys([finding.name for finding in self.findings] + self.figures.bad()))
+        return list(dict.fromkeys([finding.name for finding in self.findings] + self.figures.violations()))
 
     def plain(self) -> dict[str, Any]:
         """As plain values."""
         return {
             "seed": self.plan.seed,
-            "figures": self.figures.plain(),
+            "figures": self.figures.to_dict(),
             "findings": [[one.name, one.at_ms, one.facts] for one in self.findings],
         }
 
--- a/badgeryoke/testbed/cluster_simulation/soak.py
+++ b/badgeryoke/testbed/cluster_simulation/soak.py
@@ -20,7 +20,7 @@
     play_seed,
     shrink,
 )
-from badgeryoke.testbed.report.cluster_figures import spread
+from badgeryoke.testbed.report.cluster_figures import worst_and_median
 
 
 def one(seed: int, members: int, kind: str) -> dict[str, Any]:
@@ -45,7 +45,7 @@
             for row in rows
             if row["seed"] == names[name][0]
         },
-        "figures": spread([row["figures"] for row in rows]),
+        "figures": worst_and_median([row["figures"] for row in rows]),
         "kinds": {},
     }
     for kind in KINDS:
@@ -55,8 +55,8 @@
             made["kinds"][kind] = {
                 "seeds": len(mine),
                 "failed": sum(bool(row["names"]) for row in mine),
-                "unavailable_ms": spread(figures)["unavailable_ms"],
-                "copies_restored_ms": spread(figures)["copies_restored_ms"],
+                "unavailable_ms": worst_and_median(figures)["unavailable_ms"],
+                "copies_restored_ms": worst_and_median(figures)["copies_restored_ms"],
                 "slow_seeds": [
                     row["seed"]
                     for row in mine
--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -17,7 +17,7 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from badgeryoke.testbed.report.cluster_figures import FleetFigures, spread
+from badgeryoke.testbed.report.cluster_figures import FleetFigures, worst_and_median
 from badgeryoke.testbed.report.result import Result, within_stated
 from badgeryoke.testbed.report.write import compare_folders, write_folder
 from badgeryoke.testbed.scenario.model import Scenario
@@ -115,10 +115,10 @@
             click.echo(f"{scenario}: {fault}", err=True)
             sys.exit(FAILED)
     fleet = stage.fleet_figures()
-    figures = {**result.figures(), **stage.extra_figures(), **fleet.plain(), "kind": "sockets"}
+    figures = {**result.figures(), **stage.extra_figures(), **fleet.to_dict(), "kind": "sockets"}
     if to is not None:
         write_folder(to, text, source, [result], figures, stage.events)
-    _show(figures, within_stated(result) and not fleet.bad(), as_json, to)
+    _show(figures, within_stated(result) and not fleet.violations(), as_json, to)
 
 
 def _show(figures: dict[str, Any], good: bool, as_json: bool, to: Path | None) -> None:
@@ -203,13 +203,13 @@
     if to is not None:
         events = [
             {
-                "at_ms": shown.at_ms,
+                "at_ms": report.at_ms,
                 "event": "belief",
-                "gateway": shown.gateway + 1,
-                "belief": shown.belief,
-                "sign": shown.sign,
+                "gateway": report.gateway + 1,
+                "belief": report.state,
+                "sign": report.symptom,
             }
-            for shown in results[0].beliefs
+            for report in results[0].state_reports
         ]
         write_folder(to, text, source, results, figures, events)
     if as_json:
@@ -227,7 +227,7 @@
             f"ceilings broken {figures['ceiling_broken']}, "
             f"false alarms {figures['false_alarms']}, seeds {seeds}"
         )
-    sys.exit(0 if all(map(within_stated, results)) and not any(one.bad() for one in fleets) else BAD)
+    sys.exit(0 if all(map(within_stated, results)) and not any(one.violations() for one in fleets) else BAD)
 
 
 def resize(text: Scenario, gateways: int) -> Scenario:
@@ -255,7 +255,7 @@
             "median": known[len(known) // 2],
             "best": known[-1 if low_is_bad else 0],
         }
-    fleet = spread([one.plain() for one in fleets or [FleetFigures()]])
+    fleet = worst_and_median([one.to_dict() for one in fleets or [FleetFigures()]])
     worst = {key: row.get("worst") for key, row in fleet.items()}
     if states := [one.roll_state for one in fleets or [] if one.roll_state is not None]:
         worst["roll_state"] = next((state for state in states if state != "done"), "done")
--- a/badgeryoke/testbed/customers.py
+++ b/badgeryoke/testbed/customers.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass
 
-from badgeryoke.testbed.scenario.model import Crowd, Scenario
+from badgeryoke.testbed.scenario.model import CustomerGroup, Scenario
 
 
 @dataclass
@@ -13,17 +13,17 @@
     """A customer and how its tries are spread."""
 
     number: int
-    crowd: Crowd
+    customer_group: CustomerGroup
     rate: float  # tries a ms
     spread: int
     first: int
     phase: float  # of its shifts, ms
 
-    def door(self, now: float, rng: random.Random, gateways: int) -> int:
+    def choose_gateway(self, now: float, rng: random.Random, gateways: int) -> int:
         """The gateway that a try comes to at a time, ms from the start: the busiest one more often, and
         another is the busiest after each shift."""
-        turn = int((now + self.phase) // self.crowd.shifts_ms)
-        busy = rng.random() < self.crowd.busiest
+        turn = int((now + self.phase) // self.customer_group.shifts_ms)
+        busy = rng.random() < self.customer_group.busiest
         index = (self.number + turn) % self.spread if busy else rng.randrange(self.spread)
         return (self.first + index) % gateways
 
@@ -31,19 +31,19 @@
 def draw_customers(scenario: Scenario, rng: random.Random) -> list[Customer]:
     """All customers of a scenario."""
     made = []
-    for crowd in scenario.crowds:
-        plan = next(plan for plan in scenario.plans if plan.name == crowd.plan)
-        for _ in range(crowd.count):
-            rate = rng.uniform(*crowd.demand) * plan.rate / (sum(crowd.units) / 2) / 1000.0
-            spread = min(rng.randint(*crowd.spread), scenario.gateways)
+    for customer_group in scenario.customer_groups:
+        plan = next(plan for plan in scenario.plans if plan.name == customer_group.plan)
+        for _ in range(customer_group.count):
+            rate = rng.uniform(*customer_group.demand) * plan.rate / (sum(customer_group.units) / 2) / 1000.0
+            spread = min(rng.randint(*customer_group.spread), scenario.gateways)
             made.append(
                 Customer(
                     rng.getrandbits(32),
-                    crowd,
+                    customer_group,
                     rate,
                     spread,
                     rng.randrange(scenario.gateways),
-                    rng.uniform(0, crowd.shifts_ms),
+                    rng.uniform(0, customer_group.shifts_ms),
                 )
             )
     return made
--- a/badgeryoke/testbed/emulator/cluster.py
+++ b/badgeryoke/testbed/emulator/cluster.py
@@ -150,7 +150,11 @@
         """Units a second that the servers carry."""
         scenario = self.scenario
         calls = scenario.servers * CORES * 2000.0 / sum(scenario.work_ms)
-        return calls * sum(sum(crowd.units) / 2.0 for crowd in scenario.crowds) / max(len(scenario.crowds), 1)
+        return (
+            calls
+            * sum(sum(customer_group.units) / 2.0 for customer_group in scenario.customer_groups)
+            / max(len(scenario.customer_groups), 1)
+        )
 
     # What is seen ---------------------------------------------------------------------------------------
 
--- a/badgeryoke/testbed/emulator/counter.py
+++ b/badgeryoke/testbed/emulator/counter.py
@@ -44,7 +44,7 @@
 
     async def happen(self, fault: Fault) -> None:
         """One fault, now."""
-        self.model.happen(self.now, fault)
+        self.model.inject_fault(self.now, fault)
         if fault.word == "kill" and fault.mode != "part":
             self.close()
         elif fault.word == "start" and fault.mode != "part" and not self._listeners:
@@ -83,11 +83,11 @@
         name, units, life = (part for part in value[1:] if isinstance(part, bytes))
         now = owner.now
         answer = owner.model.call(now, self._gateway, int(name), float(units), float(life))
-        if answer.fate == "silent":
+        if answer.outcome == "silent":
             return
-        if answer.fate in ("full", "refused"):
+        if answer.outcome in ("full", "refused"):
             data = b"-BUSY\r\n"
-        elif answer.fate == "spoilt":
+        elif answer.outcome == "spoilt":
             data = b"$4\r\nnone\r\n"
         else:
             total = f"{answer.total:.7g}".encode()
--- a/badgeryoke/testbed/emulator/process.py
+++ b/badgeryoke/testbed/emulator/process.py
@@ -62,7 +62,9 @@
         "family_info": {
             "has_counter": True,
             "counter_timeout_ms": scenario.counter_timeout_ms,
-            "max_units": max((crowd.units[1] for crowd in scenario.crowds), default=1),
+            "max_units": max(
+                (customer_group.units[1] for customer_group in scenario.customer_groups), default=1
+            ),
             "trued_up": True,
         },
         "feedback": {"fields": ["lat_ms", "rif"], "how": "answers"},
--- a/badgeryoke/testbed/emulator/run.py
+++ b/badgeryoke/testbed/emulator/run.py
@@ -24,7 +24,7 @@
 from badgeryoke.testbed.emulator.resp import words
 from badgeryoke.testbed.emulator.servers import CORES, LoadServer
 from badgeryoke.testbed.report.cluster_figures import FleetFigures
-from badgeryoke.testbed.report.result import DEADLINE_MS, Result, Shown, conclude
+from badgeryoke.testbed.report.result import DEADLINE_MS, CounterStateReport, Result, build_result
 from badgeryoke.testbed.scenario.model import Fault, Scenario
 from badgeryoke.testbed.simulation.counter import CounterModel
 
@@ -56,12 +56,12 @@
         self._rng = random.Random(f"{scenario.name}/{seed}")
         self._temporary = tempfile.TemporaryDirectory() if folder is None else None
         self.folder = folder or Path(self._temporary.name if self._temporary else ".")
-        self.referee = QuotaChecker(scenario.plans, scenario.trouble)
+        self.quota_checker = QuotaChecker(scenario.plans, scenario.fault_period)
         self.fleet: FleetStage | None = None
         self._felled: set[int] = set()  # gateways that the laboratory has ended and not started again
         self._tasks: list[asyncio.Task[None]] = []
         self.counter = CounterStage(CounterModel(scenario, self._rng), scenario.gateways)
-        self.beliefs: list[Shown] = []
+        self.state_reports: list[CounterStateReport] = []
         self.events: list[dict[str, Any]] = []
         self.latency = {kind: HdrHistogram(1, HIGHEST_US, 3) for kind in ("served", "refused", "failed")}
         self._servers = [
@@ -104,7 +104,9 @@
         finally:
             gc.enable()
             await self.close()
-        return conclude(self.scenario, self.seed, self.referee, self.beliefs, self.counter.calls, 0.0)
+        return build_result(
+            self.scenario, self.seed, self.quota_checker, self.state_reports, self.counter.calls, 0.0
+        )
 
     async def open(self) -> None:
         """Start all parties, and wait until they see each other; then the referee's time begins."""
@@ -288,11 +290,11 @@
             for gateway in self._gateways:
                 gateway.look()
             gc.collect(0)
-            step = int((self.now - 1000.0) // self.referee.step_ms)
+            step = int((self.now - 1000.0) // self.quota_checker.step_ms)
             rows = [
                 sums
                 for index in range(step, step + 4)
-                for sums in self.referee.totals_by_step.get(index, {}).values()
+                for sums in self.quota_checker.totals_by_step.get(index, {}).values()
             ]
             self._show(
                 {
@@ -325,7 +327,7 @@
         rng, scenario = self._rng, self.scenario
         if not self.asking:
             return
-        me = customer.door(self.now, rng, scenario.gateways)
+        me = customer.choose_gateway(self.now, rng, scenario.gateways)
         if not self._doors[me].up:
             alive = [
                 number
@@ -335,26 +337,26 @@
             if not alive or self.now - self._dead_at[me] < FRONT_S * 1000.0:
                 return
             me = rng.choice(alive)
-        units = rng.randint(*customer.crowd.units)
+        units = rng.randint(*customer.customer_group.units)
         self._rids += 1
-        rid, plan, sent = f"{self._rids:016x}", customer.crowd.plan, self.now
+        rid, plan, sent = f"{self._rids:016x}", customer.customer_group.plan, self.now
         fields = (
             f"c=balance-check,t={plan},d={DEADLINE_MS:.0f},units={units},spread={customer.spread},"
             f"first={customer.first}{',r=1' if again else ''}"
         )
 
         def done(kind: str, wait_ms: float = 0.0) -> None:
-            if kind == "refused" and not again and rng.random() < customer.crowd.retries:
+            if kind == "refused" and not again and rng.random() < customer.customer_group.retries:
                 asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._ask, customer, True)
             self.counts[kind] += 1
             ended(kind)
             if kind == "lost":
-                self.referee.request_abandoned(rid)
+                self.quota_checker.request_abandoned(rid)
                 if self.fleet is not None and me not in self._felled:
                     self.fleet.roll_lost += 1
                     self._event("lost", gateway=me + 1, asked_at=round(sent, 1), up=self._doors[me].up)
                 return
-            self.referee.response_received(self.now, rid, kind)
+            self.quota_checker.response_received(self.now, rid, kind)
             self.latency[kind].record_value(max(int((self.now - sent) * 1000.0), 1))
 
         ended = (
@@ -362,14 +364,16 @@
             if self.fleet is not None
             else lambda kind: None
         )
-        self.referee.request_sent(sent, rid, customer.number, plan, units, me)
+        self.quota_checker.request_sent(sent, rid, customer.number, plan, units, me)
         if not self._doors[me].ask(
             words(b"SVC.QUERY", b"%016x" % customer.number, rid.encode(), fields.encode()), done
         ):
             done("lost")
 
     def _arrived(self, customer: int, rid: str, fields: dict[str, str], gateway: int) -> None:
-        self.referee.attempt_arrived(self.now, rid, customer, fields["t"], float(fields["units"]), gateway)
+        self.quota_checker.attempt_arrived(
+            self.now, rid, customer, fields["t"], float(fields["units"]), gateway
+        )
 
     def _said(self, me: int, line: str) -> None:
         """A line of a gateway's log."""
@@ -381,14 +385,14 @@
                 self._event("said", gateway=me + 1, line=line[:MOST_SAID])
             return
         hidden = tuple(int(word) for word in (found.group(3) or "[]").strip("[]").split(",") if word.strip())
-        shown = Shown(round(self.now, 1), me, found.group(1), found.group(2).strip(), hidden)
-        if shown.at_ms >= 0 or shown.belief != "sound":
-            self.beliefs.append(shown)
+        report = CounterStateReport(round(self.now, 1), me, found.group(1), found.group(2).strip(), hidden)
+        if report.at_ms >= 0 or report.state != "sound":
+            self.state_reports.append(report)
         self._event(
             "belief",
             gateway=me + 1,
-            belief=shown.belief,
-            sign=shown.sign,
+            belief=report.state,
+            sign=report.symptom,
             hidden=[number + 1 for number in hidden],
         )
 
--- a/badgeryoke/testbed/report/cluster_figures.py
+++ b/badgeryoke/testbed/report/cluster_figures.py
@@ -27,13 +27,13 @@
     invariants_broken: int | None = None
     roll_ratio: float | None = None  # a roll's time to the least that the limits allow
 
-    def plain(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """As plain values, rounded, in a fixed order."""
         return {
             key: round(value, 4) if isinstance(value, float) else value for key, value in asdict(self).items()
         }
 
-    def bad(self) -> list[str]:
+    def violations(self) -> list[str]:
         """The keys that break a promise whatever was done to the fleet."""
         found = [
             key
@@ -56,7 +56,7 @@
 LOW_IS_BAD = ("promises_acknowledged", "contract_floor", "lent_share")
 
 
-def spread(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
+def worst_and_median(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
     """Worst and median of each figure over many runs."""
     made: dict[str, dict[str, Any]] = {}
     for key in FleetFigures.__dataclass_fields__:
--- a/badgeryoke/testbed/report/result.py
+++ b/badgeryoke/testbed/report/result.py
@@ -22,13 +22,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shown:
+class CounterStateReport:
     """A belief that a gateway came to, at the world's time in ms since the start."""
 
     at_ms: float
     gateway: int
-    belief: str
-    sign: str
+    state: str
+    symptom: str
     hidden: tuple[int, ...]
 
 
@@ -44,8 +44,8 @@
     false_alarms: int
     calls_a_try: float
     watch_calls_a_second: float
-    beliefs: list[Shown]
-    line: list[dict[str, Any]]
+    state_reports: list[CounterStateReport]
+    totals_by_step: list[dict[str, Any]]
 
     def figures(self) -> dict[str, Any]:
         """As plain values, in a fixed order."""
@@ -95,7 +95,9 @@
         ),
         has_counter=True,
         counter_timeout_ms=scenario.counter_timeout_ms,
-        max_request_units=float(max((crowd.units[1] for crowd in scenario.crowds), default=1)),
+        max_request_units=float(
+            max((customer_group.units[1] for customer_group in scenario.customer_groups), default=1)
+        ),
         max_attempts=3,
         can_cancel=True,
         max_retry_after_ms=1000.0,
@@ -107,20 +109,20 @@
     )
 
 
-def conclude(
+def build_result(
     scenario: Scenario,
     seed: int,
     referee: QuotaChecker,
-    beliefs: list[Shown],
+    state_reports: list[CounterStateReport],
     calls: int,
     watch_calls_a_second: float,
 ) -> Result:
     """The result, from the referee's books and the beliefs that were shown."""
-    start, end = scenario.trouble
+    start, end = scenario.fault_period
     real = any(fault.word in REAL for fault in scenario.faults)
-    alarms = [shown for shown in beliefs if shown.belief in ALARMS]
-    found = [shown.at_ms - start for shown in alarms if shown.at_ms >= start] if real else []
-    away = [shown for shown in alarms if not real or shown.at_ms < start or shown.at_ms > end + AFTER_MS]
+    alarms = [report for report in state_reports if report.state in ALARMS]
+    found = [report.at_ms - start for report in alarms if report.at_ms >= start] if real else []
+    away = [report for report in alarms if not real or report.at_ms < start or report.at_ms > end + AFTER_MS]
     verdict = referee.verdict()
     line = [
         {
@@ -144,7 +146,7 @@
         len(away),
         calls / max(verdict.tries, 1),
         watch_calls_a_second,
-        beliefs,
+        state_reports,
         line,
     )
 
@@ -159,6 +161,8 @@
     """Each plan with the widest set of its customers."""
     plans = {plan.name: plan for plan in settings_of(scenario, 0).plans}
     widest: dict[str, int] = {}
-    for crowd in scenario.crowds:
-        widest[crowd.plan] = max(widest.get(crowd.plan, 1), min(crowd.spread[1], scenario.gateways))
+    for customer_group in scenario.customer_groups:
+        widest[customer_group.plan] = max(
+            widest.get(customer_group.plan, 1), min(customer_group.spread[1], scenario.gateways)
+        )
     return [(plans[name], spread) for name, spread in sorted(widest.items())]
--- a/badgeryoke/testbed/report/write.py
+++ b/badgeryoke/testbed/report/write.py
@@ -44,13 +44,13 @@
         "within_stated": all(map(within_stated, results)),
         "commit": commit(),
         "setup": f"{text.gateways} gateways, {text.servers} servers, "
-        f"{sum(crowd.count for crowd in text.crowds)} customers; watch "
+        f"{sum(customer_group.count for customer_group in text.customer_groups)} customers; watch "
         f"{'on' if text.watch else 'off'}; {figures['kind']}",
     }
     (folder / "figures.json").write_text(json.dumps(figures, indent=1, sort_keys=True) + "\n")
     lines = [json.dumps(event, sort_keys=True) + "\n" for event in events]
     (folder / "events.jsonl").write_text("".join(lines))
-    (folder / "line.json").write_text(json.dumps(first.line) + "\n")
+    (folder / "line.json").write_text(json.dumps(first.totals_by_step) + "\n")
     (folder / "scenario.scm").write_text(source)
     render_folder(folder)
 
@@ -118,7 +118,7 @@
         for key, into in sums.items():
             into[at] += row[key]
         gateways[row["gateway"]][at] += row["sent"]
-    shaded = text.trouble[0] / 1000.0, text.trouble[1] / 1000.0
+    shaded = text.fault_period[0] / 1000.0, text.fault_period[1] / 1000.0
     marks = [(fault.at_ms / 1000.0, f"{fault.word} {fault.target} {fault.mode}") for fault in text.faults]
     names = {"sent": "sent", "beyond": "beyond quota", "oracle": "all-knowing"}
     units = chart(
--- a/badgeryoke/testbed/scenario/model.py
+++ b/badgeryoke/testbed/scenario/model.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 # States of a gateway in a rolling restart.
-STANDS = ["granting", "pausing", "emptying", "acting", "returning", "warming"]
+ROLLING_RESTART_STATES = ["granting", "pausing", "emptying", "acting", "returning", "warming"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Crowd:
+class CustomerGroup:
     """Customers of one kind; each customer's values are generated from the ranges."""
 
     count: int
@@ -99,7 +99,7 @@
     counter_delay_ms: tuple[float, float] = (0.3, 1.9)
     counter_timeout_ms: float = 50.0
     plans: tuple[PlanText, ...] = ()
-    crowds: tuple[Crowd, ...] = ()
+    customer_groups: tuple[CustomerGroup, ...] = ()
     faults: tuple[Fault, ...] = field(default=())
     fleet: bool = False  # whether the gateways replicate their shared state as a cluster
     copies: int = 3
@@ -110,7 +110,7 @@
     rolls: tuple[RollText, ...] = ()
 
     @property
-    def trouble(self) -> tuple[float, float]:
+    def fault_period(self) -> tuple[float, float]:
         """From the first fault to the last; the complete length where there is none."""
         times = [fault.at_ms for fault in self.faults]
         if not times:
--- a/badgeryoke/testbed/scenario/parser.py
+++ b/badgeryoke/testbed/scenario/parser.py
@@ -41,7 +41,7 @@
     name = read_word(form, 1)
     made: dict[str, object] = {}
     plans: list[PlanText] = []
-    crowds: list[Form] = []
+    customer_groups: list[Form] = []
     faults: list[tuple[float, Form]] = []
     contracts: list[Form] = []
     rolls: list[Form] = []
@@ -136,7 +136,7 @@
             "servers": servers,
             "counter": counter,
             "plan": lambda sub: plans.append(read_plan(sub)),
-            "customers": crowds.append,
+            "customers": customer_groups.append,
             "at": at,
             "proposals": put(
                 "proposals", needs_fleet(lambda s: read_quantity(s, 1, "rate", 0.0, 10_000.0).least)
@@ -156,20 +156,20 @@
     if fleet and (number < (told := made.get("copies", 3))):  # type: ignore[operator]
         raise error_at(form, f"{told} copies do not fit on {number} gateways")
     names = [plan.name for plan in plans]
-    if bool(plans) != bool(crowds) or not (plans or (fleet and made.get("proposals"))):
+    if bool(plans) != bool(customer_groups) or not (plans or (fleet and made.get("proposals"))):
         raise error_at(
             form,
             "a scenario needs at least one (plan ...) and one (customers ...), or a fleet with "
             "(proposals ...)",
         )
-    made_crowds = tuple(read_customers(one, names) for one in crowds)
-    customers = sum(crowd.count for crowd in made_crowds)
-    if contracts and not crowds:
+    made_crowds = tuple(read_customers(one, names) for one in customer_groups)
+    customers = sum(customer_group.count for customer_group in made_crowds)
+    if contracts and not customer_groups:
         raise error_at(contracts[0], "contract: there are no (customers ...) that it could be for")
     return Scenario(
         name,
         plans=tuple(plans),
-        crowds=made_crowds,
+        customer_groups=made_crowds,
         contracts=_named(contracts, [read_contract(one, customers) for one in contracts]),
         rolls=_named(rolls, [read_rolling_restart(one, number) for one in rolls]),
         faults=tuple(
--- a/badgeryoke/testbed/scenario/sections.py
+++ b/badgeryoke/testbed/scenario/sections.py
@@ -13,7 +13,13 @@
     read_sections,
     read_word,
 )
-from badgeryoke.testbed.scenario.model import STANDS, ContractText, Crowd, PlanText, RollText
+from badgeryoke.testbed.scenario.model import (
+    ROLLING_RESTART_STATES,
+    ContractText,
+    CustomerGroup,
+    PlanText,
+    RollText,
+)
 from badgeryoke.testbed.scenario.sexpr import Form
 
 
@@ -50,9 +56,9 @@
     return PlanText(name, **values)
 
 
-def read_customers(form: Form, plans: list[str]) -> Crowd:
+def read_customers(form: Form, plans: list[str]) -> CustomerGroup:
     """Parse a group of customers on one of the plans."""
-    made = Crowd(read_integer(form), "")
+    made = CustomerGroup(read_integer(form), "")
     changes: dict[str, object] = {}
 
     def pair(key: str, measures: str, least: float, most: float, whole: bool) -> Callable[[Form], None]:
@@ -160,7 +166,9 @@
         changes["at_once"] = read_integer(sub, 1, 1, gateways)
 
     def kills(sub: Form) -> None:
-        changes["kill_leader"] = tuple(read_word(sub, place, STANDS) for place in range(1, len(sub.items)))
+        changes["kill_leader"] = tuple(
+            read_word(sub, place, ROLLING_RESTART_STATES) for place in range(1, len(sub.items))
+        )
 
     made = RollText(read_word(form, 1), -1.0, tuple(range(1, gateways + 1)))
     read_sections(form, 2, {"from": begins, "gateways": who, "at-once": at_once, "kill-leader": kills})
--- a/badgeryoke/testbed/seed_sweep.py
+++ b/badgeryoke/testbed/seed_sweep.py
@@ -25,7 +25,7 @@
 
 from badgeryoke.testbed.emulator.cluster import unplayable
 from badgeryoke.testbed.emulator.run import Stage
-from badgeryoke.testbed.report.cluster_figures import spread
+from badgeryoke.testbed.report.cluster_figures import worst_and_median
 from badgeryoke.testbed.report.write import commit
 from badgeryoke.testbed.scenario.parser import load
 from badgeryoke.testbed.scenario.sexpr import TextError
@@ -63,8 +63,8 @@
             row["fault"] = str(fault)[:500]
     made = stage.fleet_figures()
     row |= {
-        "figures": made.plain(),
-        "bad": made.bad(),
+        "figures": made.to_dict(),
+        "bad": made.violations(),
         "queries": dict(stage.counts),
         **stage.extra_figures(),
     }
@@ -99,7 +99,7 @@
         "by": by,
         "queries": queries,
         "beside": beside,
-        "figures": spread([row["figures"] for row in rows]),
+        "figures": worst_and_median([row["figures"] for row in rows]),
         "faults": [row["fault"] for row in rows if row["fault"]],
     }
 
--- a/badgeryoke/testbed/simulation/counter.py
+++ b/badgeryoke/testbed/simulation/counter.py
@@ -28,14 +28,14 @@
     free_at: float = 0.0
     up: bool = True
 
-    def add(self, now: float, name: int, units: float, life_ms: float) -> float:
+    def add(self, now: float, name: int, units: float, expire_ms: float) -> float:
         """Add to a name; gives its total to seven digits."""
         total, ends = self.totals.get(name, (0.0, 0.0))
         if now >= ends:
-            total, ends = 0.0, now + min(max(life_ms, 1.0), 60_000.0)
+            total, ends = 0.0, now + min(max(expire_ms, 1.0), 60_000.0)
         total += units
         self.totals[name] = total, ends
-        self.log.append((now, name, units, life_ms))
+        self.log.append((now, name, units, expire_ms))
         while self.log[0][0] < now - LOG_MS:
             self.log.popleft()
         return float(f"{total:.7g}")
@@ -50,12 +50,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class CounterResponse:
     """What a call comes to: when its answer leaves (never: inf), its total, or how it ended."""
 
     at_ms: float
     total: float = 0.0
-    fate: str = "ok"  # ok, full, refused, silent, spoilt
+    outcome: str = "ok"  # ok, full, refused, silent, spoilt
 
 
 class CounterModel:
@@ -68,23 +68,23 @@
         self._aside: list[Part] = []
         self.up, self.frozen, self.spoilt, self.slow = True, False, False, 1.0
 
-    def call(self, now: float, gateway: int, name: int, units: float, life_ms: float) -> Answer:
+    def call(self, now: float, gateway: int, name: int, units: float, expire_ms: float) -> CounterResponse:
         """One call as it arrives."""
         parts = self._sides[self._side_of[gateway]]
         part = parts[name % len(parts)]
         if not self.up or not part.up:
-            return Answer(now, fate="refused")
+            return CounterResponse(now, outcome="refused")
         if self.frozen:
-            return Answer(now, fate="silent")
+            return CounterResponse(now, outcome="silent")
         wait = max(part.free_at - now, 0.0)
         if wait > BUSY_MS:
-            return Answer(now, fate="full")
+            return CounterResponse(now, outcome="full")
         part.free_at = now + wait + self.slow * 1000.0 * len(parts) / self._text.counter_calls
         delay = self._rng.uniform(*self._text.counter_delay_ms) * self.slow
-        total = part.add(now, name, units, life_ms)
-        return Answer(now + wait + delay, total, "spoilt" if self.spoilt else "ok")
+        total = part.add(now, name, units, expire_ms)
+        return CounterResponse(now + wait + delay, total, "spoilt" if self.spoilt else "ok")
 
-    def happen(self, now: float, fault: Fault) -> None:
+    def inject_fault(self, now: float, fault: Fault) -> None:
         """Carry out one fault."""
         match fault.word:
             case "kill" if fault.mode == "part":
--- a/badgeryoke/testbed/simulation/world.py
+++ b/badgeryoke/testbed/simulation/world.py
@@ -17,7 +17,13 @@
 from badgeryoke.decisions.policy.engine import DecisionEngine
 from badgeryoke.testbed.checkers.quota_checker import QuotaChecker
 from badgeryoke.testbed.customers import Customer, draw_customers
-from badgeryoke.testbed.report.result import DEADLINE_MS, Result, Shown, conclude, settings_of
+from badgeryoke.testbed.report.result import (
+    DEADLINE_MS,
+    CounterStateReport,
+    Result,
+    build_result,
+    settings_of,
+)
 from badgeryoke.testbed.scenario.model import Fault, Scenario
 from badgeryoke.testbed.simulation.counter import CounterModel
 
@@ -36,7 +42,7 @@
         self._made = 0
         self.now = 0.0
         self.counter = CounterModel(scenario, rng)
-        self.referee = QuotaChecker(scenario.plans, scenario.trouble)
+        self.quota_checker = QuotaChecker(scenario.plans, scenario.fault_period)
         half = scenario.clock_skew_ms / 2
         self._skew = [rng.uniform(-half, half) for _ in range(scenario.gateways)]
         self._gateways: list[DecisionEngine | MonitoredEngine | None] = [None] * scenario.gateways
@@ -50,7 +56,7 @@
         self._spike = 1.0
         self._rids = self._calls = self._watch_calls = 0
         self._queries: dict[str, tuple[int, Customer, int, bool]] = {}
-        self.beliefs: list[Shown] = []
+        self.state_reports: list[CounterStateReport] = []
 
     # Time -----------------------------------------------------------------------------------------------
 
@@ -75,7 +81,7 @@
 
     def _happen(self, fault: Fault) -> None:
         if fault.target == "counter":
-            self.counter.happen(self.now, fault)
+            self.counter.inject_fault(self.now, fault)
         elif fault.target == "customers":
             self._spike = fault.amount
         elif fault.word in ("kill", "lose"):
@@ -104,7 +110,7 @@
         for rid, (owner, *_) in list(self._queries.items()):
             if owner == gateway:
                 del self._queries[rid]
-                self.referee.request_abandoned(rid)
+                self.quota_checker.request_abandoned(rid)
 
     def _tell(self, gateway: int, life: int, event: api.Event) -> None:
         made = self._gateways[gateway]
@@ -127,17 +133,19 @@
                     pass
         if isinstance(made, MonitoredEngine):
             for change in made.take_changes():
-                self.beliefs.append(
-                    Shown(round(self.now, 3), gateway, change.new.value, change.symptom.value, change.hidden)
+                self.state_reports.append(
+                    CounterStateReport(
+                        round(self.now, 3), gateway, change.new.value, change.symptom.value, change.hidden
+                    )
                 )
 
     def _answer(self, rid: str, kind: str, wait_ms: float = 0.0) -> None:
         found = self._queries.pop(rid, None)
         if found is not None and kind == "refused" and not found[3]:
-            share = found[1].crowd.retries
+            share = found[1].customer_group.retries
             if share and self._rng.random() < share:
                 self._at(self.now + wait_ms, self._ask, found[1], True)
-        self.referee.response_received(self.now, rid, kind)
+        self.quota_checker.response_received(self.now, rid, kind)
 
     # Clients and servers --------------------------------------------------------------------------------
 
@@ -148,7 +156,7 @@
 
     def _ask(self, customer: Customer, again: bool) -> None:
         scenario, rng = self.scenario, self._rng
-        gateway = customer.door(self.now, rng, scenario.gateways)
+        gateway = customer.choose_gateway(self.now, rng, scenario.gateways)
         if self._gateways[gateway] is None:
             alive = [
                 number
@@ -158,11 +166,11 @@
             if not alive or self.now - self._dead_at[gateway] < FRONT_MS:
                 return  # the front has not noticed yet, or there is nobody else
             gateway = rng.choice(alive)
-        units = rng.randint(*customer.crowd.units)
+        units = rng.randint(*customer.customer_group.units)
         self._rids += 1
         rid = str(self._rids)
-        plan = customer.crowd.plan
-        self.referee.request_sent(self.now, rid, customer.number, plan, units, gateway)
+        plan = customer.customer_group.plan
+        self.quota_checker.request_sent(self.now, rid, customer.number, plan, units, gateway)
         self._queries[rid] = gateway, customer, units, again
         self._at(
             self.now + rng.uniform(*HOP_MS),
@@ -185,7 +193,7 @@
     def _arrive(self, gateway: int, life: int, request: api.Request) -> None:
         if life != self._lives[gateway]:
             self._queries.pop(request.id, None)
-            self.referee.request_abandoned(request.id)
+            self.quota_checker.request_abandoned(request.id)
         self._tell(gateway, life, request)
 
     def _send(self, gateway: int, life: int, rid: str, server: int) -> None:
@@ -199,7 +207,9 @@
         self._at(back, self._served, gateway, life, rid, server, sent, units, customer)
 
     def _reach(self, rid: str, customer: Customer, units: int, gateway: int) -> None:
-        self.referee.attempt_arrived(self.now, rid, customer.number, customer.crowd.plan, units, gateway)
+        self.quota_checker.attempt_arrived(
+            self.now, rid, customer.number, customer.customer_group.plan, units, gateway
+        )
 
     def _served(
         self, gateway: int, life: int, rid: str, server: int, sent: float, units: int, customer: Customer
@@ -207,7 +217,7 @@
         if life != self._lives[gateway]:
             return
         true = float(units)
-        if customer.crowd.misjudged and self._rng.random() < customer.crowd.misjudged:
+        if customer.customer_group.misjudged and self._rng.random() < customer.customer_group.misjudged:
             true = max(true + self._rng.choice((-1.0, 1.0)), 1.0)
         self._answer(rid, "served")
         rtt = self.now - sent
@@ -232,8 +242,8 @@
             "refused": api.Verdict.CONNECT_FAILED,
             "spoilt": api.Verdict.TIMEOUT,
             "silent": api.Verdict.TIMEOUT,
-        }[answer.fate]
-        if answer.fate == "silent" or back > late:
+        }[answer.outcome]
+        if answer.outcome == "silent" or back > late:
             verdict, back = api.Verdict.TIMEOUT, late
         total = api.CounterReply(
             name, verdict, back - sent, answer.total if verdict is api.Verdict.OK else 0.0
@@ -247,11 +257,11 @@
             if isinstance(made, MonitoredEngine):
                 self._watch_calls += made.calls_made
         seconds = self.now / 1000.0
-        return conclude(
+        return build_result(
             self.scenario,
             self.seed,
-            self.referee,
-            self.beliefs,
+            self.quota_checker,
+            self.state_reports,
             self._calls,
             self._watch_calls / seconds / max(self.scenario.started, 1),
         )
--- a/tests/decisions/counter_health/test_worlds.py
+++ b/tests/decisions/counter_health/test_worlds.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 
 from badgeryoke.decisions.counter_health.error_bound import CEILING_ERROR_FRACTION
-from badgeryoke.testbed.scenario.model import Crowd, Fault, PlanText, Scenario
+from badgeryoke.testbed.scenario.model import CustomerGroup, Fault, PlanText, Scenario
 from badgeryoke.testbed.scenario.parser import load
-from badgeryoke.testbed.simulation.counter import Answer, CounterModel
+from badgeryoke.testbed.simulation.counter import CounterModel, CounterResponse
 from badgeryoke.testbed.simulation.world import World, play
 
 CEILING_PLAN = PlanText("distributor", 25.0, 45.0, 45.0, 80.0, 8.0)
@@ -64,7 +64,7 @@
         plans=(CEILING_PLAN,),
         faults=happening,
         clock_skew_ms=skew,
-        crowds=(Crowd(2, "distributor", (2, 3), (demand, demand), 0.73, 3000.0),),
+        customer_groups=(CustomerGroup(2, "distributor", (2, 3), (demand, demand), 0.73, 3000.0),),
     )
     verdict = play(scenario, seed).verdict
     assert verdict.ceiling_excess <= CEILING_ERROR_FRACTION
@@ -82,7 +82,7 @@
         "burst",
         length_ms=7000.0,
         plans=(CEILING_PLAN,),
-        crowds=(Crowd(3, "distributor", (3, 3), (0.3, 0.3)),),
+        customer_groups=(CustomerGroup(3, "distributor", (3, 3), (0.3, 0.3)),),
         faults=(Fault(4000.0, "spike", "customers", amount=spike), Fault(4000.0, "split", "counter", sides)),
     )
     verdict = play(scenario, 1).verdict
@@ -91,7 +91,7 @@
 
 def test_the_same_seed_gives_the_same_bytes() -> None:
     scenario, _ = load("counter-split")
-    first, second = (repr((play(scenario, 5).figures(), play(scenario, 5).line)) for _ in range(2))
+    first, second = (repr((play(scenario, 5).figures(), play(scenario, 5).totals_by_step)) for _ in range(2))
     assert first == second
 
 
@@ -113,15 +113,17 @@
     checked: list[int] = []
 
     class RecordingCounter(CounterModel):
-        def call(self, now: float, gateway: int, name: int, units: float, life_ms: float) -> Answer:
+        def call(
+            self, now: float, gateway: int, name: int, units: float, expire_ms: float
+        ) -> CounterResponse:
             reported_units[name] = reported_units.get(name, 0.0) + units
-            return super().call(now, gateway, name, units, life_ms)
+            return super().call(now, gateway, name, units, expire_ms)
 
-        def happen(self, now: float, fault: Fault) -> None:
+        def inject_fault(self, now: float, fault: Fault) -> None:
             live_names = [
                 {name for name, (_, ends) in side[0].totals.items() if ends > now} for side in self._sides
             ]
-            super().happen(now, fault)
+            super().inject_fault(now, fault)
             if fault.word == "heal":
                 totals = self._sides[0][0].totals
                 checked.extend(set.intersection(*live_names))
--- a/tests/decisions/test_behaviour_digests.py
+++ b/tests/decisions/test_behaviour_digests.py
@@ -36,7 +36,7 @@
 from badgeryoke.testbed.cluster_simulation.generated_plans import play_scenario
 from badgeryoke.testbed.scenario.model import Scenario
 from badgeryoke.testbed.scenario.parser import load, shipped
-from badgeryoke.testbed.simulation.counter import Answer, CounterModel
+from badgeryoke.testbed.simulation.counter import CounterModel, CounterResponse
 from badgeryoke.testbed.simulation.world import World
 from tests.support.canonical import Digest
 from tests.support.event_streams import CounterTrouble, Driver, ServerTrouble, Stream
@@ -327,22 +327,25 @@
     scenario = replace(
         scenario,
         length_ms=min(scenario.length_ms, MAX_SCENARIO_MS),
-        crowds=tuple(replace(crowd, count=max(crowd.count // 4, 1)) for crowd in scenario.crowds),
+        customer_groups=tuple(
+            replace(customer_group, count=max(customer_group.count // 4, 1))
+            for customer_group in scenario.customer_groups
+        ),
     )
     digest = Digest()
     world = World(scenario, 1)
-    world.referee = RecordingQuotaChecker(scenario, digest)
+    world.quota_checker = RecordingQuotaChecker(scenario, digest)
     world.counter = RecordingCounter(scenario, random.Random(f"{name}/counter"), digest)
     result = world.run()
     text_numbers: dict[str, int] = {}
     digest.add(without_names(result.figures(), text_numbers))
-    digest.add(without_names(result.line, text_numbers))
-    for change in result.beliefs:
+    digest.add(without_names(result.totals_by_step, text_numbers))
+    for change in result.state_reports:
         digest.add(
             (
                 change.at_ms,
                 change.gateway,
-                without_names((change.belief, change.sign), text_numbers),
+                without_names((change.state, change.symptom), text_numbers),
                 change.hidden,
             )
         )
@@ -354,7 +357,7 @@
     scenario = load(name)[0]
     digest = Digest()
     figures = play_scenario(replace(scenario, length_ms=min(scenario.length_ms, MAX_CLUSTER_SCENARIO_MS)), 1)
-    digest.add(without_names(figures.plain(), {}))
+    digest.add(without_names(figures.to_dict(), {}))
     return digest
 
 
@@ -373,7 +376,7 @@
     """A quota checker that also adds each of its events to a digest."""
 
     def __init__(self, scenario: Scenario, digest: Digest) -> None:
-        super().__init__(scenario.plans, scenario.trouble)
+        super().__init__(scenario.plans, scenario.fault_period)
         self.digest, self.kinds = digest, dict[str, int]()
 
     def request_sent(
@@ -403,10 +406,10 @@
         super().__init__(scenario, rng)
         self.digest = digest
 
-    def call(self, now: float, gateway: int, name: int, units: float, life_ms: float) -> Answer:
+    def call(self, now: float, gateway: int, name: int, units: float, expire_ms: float) -> CounterResponse:
         """Add a call and its reply."""
-        answer = super().call(now, gateway, name, units, life_ms)
-        self.digest.add((3, now, gateway, name, units, life_ms, answer.at_ms, answer.total))
+        answer = super().call(now, gateway, name, units, expire_ms)
+        self.digest.add((3, now, gateway, name, units, expire_ms, answer.at_ms, answer.total))
         return answer
 
 
--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -389,7 +389,12 @@
         stage = Stage(text, 1, tmp_path)
         await stage.play()  # clients ask until the roll is over
         made = stage.fleet_figures()
-        assert (made.roll_state, made.roll_lost, made.connections_over, made.bad()) == ("done", 0, 0, [])
+        assert (made.roll_state, made.roll_lost, made.connections_over, made.violations()) == (
+            "done",
+            0,
+            0,
+            [],
+        )
         assert stage.fleet is not None and stage.fleet.rolls[0]["restarts"] == 3
         assert stage.counts["served"] > 0 and max(one.most_open for one in stage._servers) > 0
 
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -63,7 +63,9 @@
         "(at 1s (slow counter 7x)))"
     )
     assert made.length_ms == 120_000 and made.work_ms == (500.0, 900.0)
-    assert made.crowds[0].demand == (4.0, 7.0) and made.crowds[0].busiest == pytest.approx(0.73)
+    assert made.customer_groups[0].demand == (4.0, 7.0) and made.customer_groups[0].busiest == pytest.approx(
+        0.73
+    )
     assert made.faults == (Fault(1000.0, "slow", "counter", amount=7.0, line=1),)
 
 
@@ -94,10 +96,10 @@
 def test_halves_come_apart_and_merge_with_each_unit_once() -> None:
     made = counter()
     made.call(0.0, 0, 7, 5.0, 9000.0)
-    made.happen(1.0, Fault(1.0, "split", "counter", ((1,), (2, 3))))
+    made.inject_fault(1.0, Fault(1.0, "split", "counter", ((1,), (2, 3))))
     assert made.call(2.0, 0, 7, 1.0, 9000.0).total == 6.0
     assert made.call(2.0, 1, 7, 2.0, 9000.0).total == 7.0
-    made.happen(3.0, Fault(3.0, "heal", "counter"))
+    made.inject_fault(3.0, Fault(3.0, "heal", "counter"))
     assert made.call(4.0, 2, 7, 0.0, 9000.0).total == 8.0
 
 
@@ -105,17 +107,17 @@
     made = counter()
     made.call(0.0, 0, 7, 5.0, 9000.0)
     made.call(1500.0, 0, 7, 2.0, 9000.0)
-    made.happen(2000.0, Fault(2000.0, "swap", "counter", mode="forget", amount=1000.0))
+    made.inject_fault(2000.0, Fault(2000.0, "swap", "counter", mode="forget", amount=1000.0))
     assert made.call(2000.0, 0, 7, 0.0, 9000.0).total == 5.0
-    made.happen(2100.0, Fault(2100.0, "swap", "counter"))
+    made.inject_fault(2100.0, Fault(2100.0, "swap", "counter"))
     assert made.call(2100.0, 0, 7, 1.0, 9000.0).total == 1.0
-    made.happen(2200.0, Fault(2200.0, "restore", "counter"))
+    made.inject_fault(2200.0, Fault(2200.0, "restore", "counter"))
     assert made.call(2200.0, 0, 7, 0.0, 9000.0).total == 5.0
 
 
 def test_a_crowded_part_turns_calls_away() -> None:
     made = counter(counter_calls=10.0)
-    fates = [made.call(0.0, 0, 7, 1.0, 9000.0).fate for _ in range(6)]
+    fates = [made.call(0.0, 0, 7, 1.0, 9000.0).outcome for _ in range(6)]
     assert fates == ["ok"] * 3 + ["full"] * 3
 
 
