--- a/badgeryoke/testbed/simulation/__init__.py
+++ b/badgeryoke/testbed/simulation/__init__.py
@@ -1,2 +1,1 @@
-"""The same scenarios in simulated time against the decision code: no sockets, seeded, the same bytes each
-time."""
+"""Deterministic, seeded runs of scenarios against the decision code, in simulated time and without sockets."""
--- a/badgeryoke/testbed/simulation/counter.py
+++ b/badgeryoke/testbed/simulation/counter.py
@@ -1,8 +1,8 @@
-"""The counter in simulated time: names with a life, parts with a queue each, and all that can happen to it.
+"""Model of the quota counter in simulated time: totals that expire, parts with a queue each, and faults.
 
-A split copies what there is to each side, and each goes on by itself.  Healing merges them (each side's
-additions since the split are added up) or keeps one side and throws the other's away.  A swap forgets all,
-or the last stretch; what there was is kept aside, so that it can come back.
+A split copies the totals to each side of the partition, and the sides then diverge.  Healing merges the sides
+by summing their additions since the split, or keeps one side and discards the others.  A swap discards all
+totals or the latest additions; the totals before it are saved, so that a restore can bring them back.
 """
 
 from __future__ import annotations
@@ -14,44 +14,44 @@
 
 from badgeryoke.testbed.scenario.model import Fault, Scenario
 
-BUSY_MS = 250.0  # a part with more than this of calls before it turns further ones away
-LOG_MS = 5000.0  # additions are remembered so long, for swaps that forget the last stretch
+MAX_QUEUE_WAIT_MS = 250.0  # a part rejects calls that would wait longer than this in its queue
+LOG_RETENTION_MS = 5000.0  # how long additions are logged, for swaps that discard the latest ones
 
 
 @dataclass
 class Part:
-    """One part of one side: totals and ends of life by name, and when it is free."""
+    """One part of one side: total and expiry time of each name, and when its queue is empty."""
 
     totals: dict[int, tuple[float, float]] = field(default_factory=dict)
     log: deque[tuple[float, int, float, float]] = field(default_factory=deque)
-    at_split: dict[int, float] = field(default_factory=dict)  # totals when the sides came apart
+    at_split: dict[int, float] = field(default_factory=dict)  # totals at the time of the split
     free_at: float = 0.0
     up: bool = True
 
     def add(self, now: float, name: int, units: float, expire_ms: float) -> float:
-        """Add to a name; gives its total to seven digits."""
+        """Add units to a name and return its total, rounded to seven digits."""
         total, ends = self.totals.get(name, (0.0, 0.0))
         if now >= ends:
             total, ends = 0.0, now + min(max(expire_ms, 1.0), 60_000.0)
         total += units
         self.totals[name] = total, ends
         self.log.append((now, name, units, expire_ms))
-        while self.log[0][0] < now - LOG_MS:
+        while self.log[0][0] < now - LOG_RETENTION_MS:
             self.log.popleft()
         return float(f"{total:.7g}")
 
-    def forget(self, since: float) -> None:
-        """Undo what was added after a time."""
+    def discard_since(self, since: float) -> None:
+        """Undo the additions since a time."""
         while self.log and self.log[-1][0] >= since:
             _, name, units, _ = self.log.pop()
             total, ends = self.totals[name]
             self.totals[name] = total - units, ends
-        self.totals = {name: kept for name, kept in self.totals.items() if abs(kept[0]) > 1e-9}
+        self.totals = {name: entry for name, entry in self.totals.items() if abs(entry[0]) > 1e-9}
 
 
 @dataclass(frozen=True, slots=True)
 class CounterResponse:
-    """What a call comes to: when its answer leaves (never: inf), its total, or how it ended."""
+    """The result of a call: when the response is sent, the total, and the outcome."""
 
     at_ms: float
     total: float = 0.0
@@ -59,17 +59,17 @@
 
 
 class CounterModel:
-    """All sides of the counter."""
+    """The counter with all sides of a partition."""
 
     def __init__(self, scenario: Scenario, rng: random.Random) -> None:
-        self._text, self._rng = scenario, rng
+        self._scenario, self._rng = scenario, rng
         self._sides: list[list[Part]] = [[Part() for _ in range(scenario.counter_parts)]]
         self._side_of = [0] * scenario.gateways
-        self._aside: list[Part] = []
+        self._saved: list[Part] = []
         self.up, self.frozen, self.spoilt, self.slow = True, False, False, 1.0
 
     def call(self, now: float, gateway: int, name: int, units: float, expire_ms: float) -> CounterResponse:
-        """One call as it arrives."""
+        """Process a call that arrives at a time."""
         parts = self._sides[self._side_of[gateway]]
         part = parts[name % len(parts)]
         if not self.up or not part.up:
@@ -77,15 +77,15 @@
         if self.frozen:
             return CounterResponse(now, outcome="silent")
         wait = max(part.free_at - now, 0.0)
-        if wait > BUSY_MS:
+        if wait > MAX_QUEUE_WAIT_MS:
             return CounterResponse(now, outcome="full")
-        part.free_at = now + wait + self.slow * 1000.0 * len(parts) / self._text.counter_calls
-        delay = self._rng.uniform(*self._text.counter_delay_ms) * self.slow
+        part.free_at = now + wait + self.slow * 1000.0 * len(parts) / self._scenario.counter_calls
+        delay = self._rng.uniform(*self._scenario.counter_delay_ms) * self.slow
         total = part.add(now, name, units, expire_ms)
         return CounterResponse(now + wait + delay, total, "spoilt" if self.spoilt else "ok")
 
     def inject_fault(self, now: float, fault: Fault) -> None:
-        """Carry out one fault."""
+        """Inject a fault."""
         match fault.word:
             case "kill" if fault.mode == "part":
                 for side in self._sides:
@@ -95,7 +95,7 @@
                     side[int(fault.amount) - 1] = Part()
             case "kill":
                 self.up = False
-            case "start":  # a process that died has forgotten
+            case "start":  # a process that was killed starts without totals
                 if not self.up:
                     self._sides = [[Part() for _ in side] for side in self._sides]
                 self.up, self.spoilt, self.frozen = True, False, False
@@ -118,15 +118,15 @@
             case "heal":
                 self._heal(now, fault)
             case "swap":
-                self._aside = copy.deepcopy(self._sides[0])
+                self._saved = copy.deepcopy(self._sides[0])
                 for side in self._sides:
                     for index, part in enumerate(side):
                         if fault.mode == "forget":
-                            part.forget(now - fault.amount)
+                            part.discard_since(now - fault.amount)
                         else:
                             side[index] = Part()
-            case "restore" if self._aside:
-                self._sides = [copy.deepcopy(self._aside) for _ in self._sides]
+            case "restore" if self._saved:
+                self._sides = [copy.deepcopy(self._saved) for _ in self._sides]
 
     def _heal(self, now: float, fault: Fault) -> None:
         if fault.mode == "keep":
@@ -134,19 +134,19 @@
         else:
             kept = self._sides[0]
             for side in self._sides[1:]:
-                for mine, theirs in zip(kept, side, strict=True):
-                    _merge(mine, theirs, now)
+                for target, source in zip(kept, side, strict=True):
+                    _merge(target, source, now)
         self._sides = [kept]
         self._side_of = [0] * len(self._side_of)
 
 
-def _merge(mine: Part, theirs: Part, now: float) -> None:
-    for name, (total, ends) in theirs.totals.items():
+def _merge(target: Part, source: Part, now: float) -> None:
+    for name, (total, ends) in source.totals.items():
         if now >= ends:
             continue
-        base = theirs.at_split.get(name, 0.0)
-        held = mine.totals.get(name)
-        if held is None or now >= held[1]:
-            mine.totals[name] = total, ends
+        base = source.at_split.get(name, 0.0)
+        entry = target.totals.get(name)
+        if entry is None or now >= entry[1]:
+            target.totals[name] = total, ends
         else:
-            mine.totals[name] = held[0] + total - base, held[1]
+            target.totals[name] = entry[0] + total - base, entry[1]
--- a/badgeryoke/testbed/simulation/world.py
+++ b/badgeryoke/testbed/simulation/world.py
@@ -1,7 +1,7 @@
-"""One run of a scenario in simulated time: gateways' decision code, models of all that is around them.
+"""One run of a scenario in simulated time: the gateways' decision code with models of clients, servers and counter.
 
-Events lie on a heap in order of time and of their making, all chance comes from the seed, and nothing reads a
-clock: the same scenario and seed give the same figures to the last byte.
+Events are processed in order of time, then of creation; all random draws come from the seed, and no clock is
+read.  The same scenario and seed give the same figures, byte for byte.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
     CounterStateReport,
     Result,
     build_result,
-    settings_of,
+    gateway_settings,
 )
 from badgeryoke.testbed.scenario.model import Fault, Scenario
 from badgeryoke.testbed.simulation.counter import CounterModel
 
-HOP_MS = (0.2, 1.0)  # one way between any two parties
-FIRST_MS = 1_000_000_000.0  # the clock's value at the start
-FRONT_MS = 1500.0  # after which clients leave a dead gateway
+NETWORK_DELAY_MS = (0.2, 1.0)  # range of the one-way delay between any two parties
+CLOCK_START_MS = 1_000_000_000.0  # what the gateways' clocks show at the start
+FAILOVER_MS = 1500.0  # time until clients use another gateway after theirs has died
 
 
 class World:
-    """Everything in one process, by one clock."""
+    """All parties of a run on one simulated clock."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.seed = scenario, seed
         self._rng = rng = random.Random(f"{scenario.name}/{seed}")
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._made = 0
+        self._event_count = 0
         self.now = 0.0
         self.counter = CounterModel(scenario, rng)
         self.quota_checker = QuotaChecker(scenario.plans, scenario.fault_period)
-        half = scenario.clock_skew_ms / 2
-        self._skew = [rng.uniform(-half, half) for _ in range(scenario.gateways)]
+        max_skew_ms = scenario.clock_skew_ms / 2
+        self._skew = [rng.uniform(-max_skew_ms, max_skew_ms) for _ in range(scenario.gateways)]
         self._gateways: list[DecisionEngine | MonitoredEngine | None] = [None] * scenario.gateways
-        self._lives = [0] * scenario.gateways
+        self._incarnations = [0] * scenario.gateways
         self._dead_at = [math.inf] * scenario.gateways
         self._servers = tuple(
             api.Server(number + 1, "hall-a", "std", 0, api.EndpointState.UP)
@@ -54,32 +54,34 @@
         )
         self._customers = draw_customers(scenario, rng)
         self._spike = 1.0
-        self._rids = self._calls = self._watch_calls = 0
-        self._queries: dict[str, tuple[int, Customer, int, bool]] = {}
+        self._request_count = self._calls = self._watch_calls = 0
+        self._open_requests: dict[str, tuple[int, Customer, int, bool]] = {}
         self.state_reports: list[CounterStateReport] = []
 
     # Time -----------------------------------------------------------------------------------------------
 
-    def _at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        self._made += 1
-        heapq.heappush(self._heap, (when, self._made, what, args))
+    def _schedule(self, at_ms: float, callback: Callable[..., None], *args: Any) -> None:
+        self._event_count += 1
+        heapq.heappush(self._heap, (at_ms, self._event_count, callback, args))
 
     def run(self) -> Result:
-        """Play it to the end."""
+        """Run the scenario to its end."""
         for gateway in range(min(self.scenario.started, self.scenario.gateways)):
             self._start(gateway)
         for customer in self._customers:
             if customer.rate > 0:
-                self._at(200.0 + self._rng.expovariate(customer.rate), self._try, customer)
+                self._schedule(
+                    200.0 + self._rng.expovariate(customer.rate), self._generate_requests, customer
+                )
         for fault in self.scenario.faults:
-            self._at(fault.at_ms, self._happen, fault)
+            self._schedule(fault.at_ms, self._inject_fault, fault)
         end = self.scenario.length_ms
         while self._heap and self._heap[0][0] <= end + DEADLINE_MS + 100.0:
-            self.now, _, what, args = heapq.heappop(self._heap)
-            what(*args)
+            self.now, _, callback, args = heapq.heappop(self._heap)
+            callback(*args)
         return self._result()
 
-    def _happen(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         if fault.target == "counter":
             self.counter.inject_fault(self.now, fault)
         elif fault.target == "customers":
@@ -87,7 +89,7 @@
         elif fault.word in ("kill", "lose"):
             self._kill(fault.groups[0][0] - 1)
         elif fault.word != "start":
-            pass  # faults between gateways are played by badgeryoke.testbed.cluster_simulation
+            pass  # faults between gateways are simulated by badgeryoke.testbed.cluster_simulation
         else:
             self._start(fault.groups[0][0] - 1)
 
@@ -96,89 +98,101 @@
     def _start(self, gateway: int) -> None:
         if self._gateways[gateway] is not None:
             self._kill(gateway)
-        self._lives[gateway] += 1
-        settings, seed = settings_of(self.scenario, gateway), self._rng.getrandbits(32)
+        self._incarnations[gateway] += 1
+        settings, seed = gateway_settings(self.scenario, gateway), self._rng.getrandbits(32)
         self._gateways[gateway] = (
             MonitoredEngine(settings, seed) if self.scenario.watch else DecisionEngine(settings, seed)
         )
-        self._tell(gateway, self._lives[gateway], api.EndpointList(api.ListScope.CACHED, self._servers))
+        self._handle_event(
+            gateway, self._incarnations[gateway], api.EndpointList(api.ListScope.CACHED, self._servers)
+        )
 
     def _kill(self, gateway: int) -> None:
-        self._lives[gateway] += 1
+        self._incarnations[gateway] += 1
         self._gateways[gateway] = None
         self._dead_at[gateway] = self.now
-        for rid, (owner, *_) in list(self._queries.items()):
+        for request_id, (owner, *_) in list(self._open_requests.items()):
             if owner == gateway:
-                del self._queries[rid]
-                self.quota_checker.request_abandoned(rid)
+                del self._open_requests[request_id]
+                self.quota_checker.request_abandoned(request_id)
 
-    def _tell(self, gateway: int, life: int, event: api.Event) -> None:
-        made = self._gateways[gateway]
-        if made is None or life != self._lives[gateway]:
+    def _handle_event(self, gateway: int, incarnation: int, event: api.Event) -> None:
+        engine = self._gateways[gateway]
+        if engine is None or incarnation != self._incarnations[gateway]:
             return
-        skew = FIRST_MS + self._skew[gateway]
-        for action in made.handle(self.now + skew, event):
+        skew = CLOCK_START_MS + self._skew[gateway]
+        for action in engine.handle(self.now + skew, event):
             match action:
-                case api.SendAttempt(id=rid, server=server):
-                    self._send(gateway, life, rid, server)
-                case api.Reject(id=rid, retry_after_ms=wait):
-                    self._answer(rid, "refused", wait)
-                case api.Fail(id=rid):
-                    self._answer(rid, "failed")
+                case api.SendAttempt(id=request_id, server=server):
+                    self._send_attempt(gateway, incarnation, request_id, server)
+                case api.Reject(id=request_id, retry_after_ms=wait):
+                    self._respond(request_id, "refused", wait)
+                case api.Fail(id=request_id):
+                    self._respond(request_id, "failed")
                 case api.AddToCounter(name=name, units=units, expire_ms=expire):
-                    self._count(gateway, life, name, units, expire)
+                    self._call_counter(gateway, incarnation, name, units, expire)
                 case api.SetTimer(at_ms=at, token=token):
-                    self._at(max(at - skew, self.now), self._tell, gateway, life, api.TimerFired(token))
+                    self._schedule(
+                        max(at - skew, self.now),
+                        self._handle_event,
+                        gateway,
+                        incarnation,
+                        api.TimerFired(token),
+                    )
                 case _:
                     pass
-        if isinstance(made, MonitoredEngine):
-            for change in made.take_changes():
+        if isinstance(engine, MonitoredEngine):
+            for change in engine.take_changes():
                 self.state_reports.append(
                     CounterStateReport(
                         round(self.now, 3), gateway, change.new.value, change.symptom.value, change.hidden
                     )
                 )
 
-    def _answer(self, rid: str, kind: str, wait_ms: float = 0.0) -> None:
-        found = self._queries.pop(rid, None)
-        if found is not None and kind == "refused" and not found[3]:
-            share = found[1].customer_group.retries
-            if share and self._rng.random() < share:
-                self._at(self.now + wait_ms, self._ask, found[1], True)
-        self.quota_checker.response_received(self.now, rid, kind)
+    def _respond(self, request_id: str, kind: str, wait_ms: float = 0.0) -> None:
+        open_request = self._open_requests.pop(request_id, None)
+        if open_request is not None and kind == "refused" and not open_request[3]:
+            retry_fraction = open_request[1].customer_group.retries
+            if retry_fraction and self._rng.random() < retry_fraction:
+                self._schedule(self.now + wait_ms, self._send_request, open_request[1], True)
+        self.quota_checker.response_received(self.now, request_id, kind)
 
     # Clients and servers --------------------------------------------------------------------------------
 
-    def _try(self, customer: Customer) -> None:
+    def _generate_requests(self, customer: Customer) -> None:
         if self.now < self.scenario.length_ms:
-            self._at(self.now + self._rng.expovariate(customer.rate * self._spike), self._try, customer)
-            self._ask(customer, False)
+            self._schedule(
+                self.now + self._rng.expovariate(customer.rate * self._spike),
+                self._generate_requests,
+                customer,
+            )
+            self._send_request(customer, False)
 
-    def _ask(self, customer: Customer, again: bool) -> None:
+    def _send_request(self, customer: Customer, is_retry: bool) -> None:
         scenario, rng = self.scenario, self._rng
         gateway = customer.choose_gateway(self.now, rng, scenario.gateways)
         if self._gateways[gateway] is None:
-            alive = [
+            running = [
                 number
                 for number in ((customer.first + step) % scenario.gateways for step in range(customer.spread))
                 if self._gateways[number] is not None
             ]
-            if not alive or self.now - self._dead_at[gateway] < FRONT_MS:
-                return  # the front has not noticed yet, or there is nobody else
-            gateway = rng.choice(alive)
+            if not running or self.now - self._dead_at[gateway] < FAILOVER_MS:
+                return  # clients still use the dead gateway, or no other is up
+            gateway = rng.choice(running)
         units = rng.randint(*customer.customer_group.units)
-        self._rids += 1
-        rid = str(self._rids)
+        self._request_count += 1
+        request_id = str(self._request_count)
         plan = customer.customer_group.plan
-        self.quota_checker.request_sent(self.now, rid, customer.number, plan, units, gateway)
-        self._queries[rid] = gateway, customer, units, again
-        self._at(
-            self.now + rng.uniform(*HOP_MS),
-            self._arrive,
+        self.quota_checker.request_sent(self.now, request_id, customer.number, plan, units, gateway)
+        self._open_requests[request_id] = gateway, customer, units, is_retry
+        self._schedule(
+            self.now + rng.uniform(*NETWORK_DELAY_MS),
+            self._request_arrived,
             gateway,
-            self._lives[gateway],
+            self._incarnations[gateway],
             api.Request(
-                rid,
+                request_id,
                 "balance-check",
                 plan,
                 customer.number,
@@ -186,56 +200,71 @@
                 float(units),
                 customer.spread,
                 customer.first,
-                again,
+                is_retry,
             ),
         )
 
-    def _arrive(self, gateway: int, life: int, request: api.Request) -> None:
-        if life != self._lives[gateway]:
-            self._queries.pop(request.id, None)
+    def _request_arrived(self, gateway: int, incarnation: int, request: api.Request) -> None:
+        if incarnation != self._incarnations[gateway]:
+            self._open_requests.pop(request.id, None)
             self.quota_checker.request_abandoned(request.id)
-        self._tell(gateway, life, request)
+        self._handle_event(gateway, incarnation, request)
 
-    def _send(self, gateway: int, life: int, rid: str, server: int) -> None:
+    def _send_attempt(self, gateway: int, incarnation: int, request_id: str, server: int) -> None:
         rng, sent = self._rng, self.now
-        if rid not in self._queries:
+        if request_id not in self._open_requests:
             return
-        _, customer, units, _ = self._queries[rid]
-        there = self.now + rng.uniform(*HOP_MS)
-        back = there + rng.uniform(*self.scenario.work_ms) + rng.uniform(*HOP_MS)
-        self._at(there, self._reach, rid, customer, units, gateway)
-        self._at(back, self._served, gateway, life, rid, server, sent, units, customer)
+        _, customer, units, _ = self._open_requests[request_id]
+        arrives_at = self.now + rng.uniform(*NETWORK_DELAY_MS)
+        returns_at = arrives_at + rng.uniform(*self.scenario.work_ms) + rng.uniform(*NETWORK_DELAY_MS)
+        self._schedule(arrives_at, self._attempt_arrived, request_id, customer, units, gateway)
+        self._schedule(
+            returns_at, self._attempt_served, gateway, incarnation, request_id, server, sent, units, customer
+        )
 
-    def _reach(self, rid: str, customer: Customer, units: int, gateway: int) -> None:
+    def _attempt_arrived(self, request_id: str, customer: Customer, units: int, gateway: int) -> None:
         self.quota_checker.attempt_arrived(
-            self.now, rid, customer.number, customer.customer_group.plan, units, gateway
+            self.now, request_id, customer.number, customer.customer_group.plan, units, gateway
         )
 
-    def _served(
-        self, gateway: int, life: int, rid: str, server: int, sent: float, units: int, customer: Customer
+    def _attempt_served(
+        self,
+        gateway: int,
+        incarnation: int,
+        request_id: str,
+        server: int,
+        sent: float,
+        units: int,
+        customer: Customer,
     ) -> None:
-        if life != self._lives[gateway]:
+        if incarnation != self._incarnations[gateway]:
             return
-        true = float(units)
+        actual_units = float(units)
         if customer.customer_group.misjudged and self._rng.random() < customer.customer_group.misjudged:
-            true = max(true + self._rng.choice((-1.0, 1.0)), 1.0)
-        self._answer(rid, "served")
+            actual_units = max(actual_units + self._rng.choice((-1.0, 1.0)), 1.0)
+        self._respond(request_id, "served")
         rtt = self.now - sent
-        self._tell(
-            gateway, life, api.AttemptOutcome(rid, 0, server, api.Verdict.OK, rtt, True, true, (rtt, 1.0))
+        self._handle_event(
+            gateway,
+            incarnation,
+            api.AttemptOutcome(request_id, 0, server, api.Verdict.OK, rtt, True, actual_units, (rtt, 1.0)),
         )
 
-    # The counter ----------------------------------------------------------------------------------------
+    # Counter --------------------------------------------------------------------------------------------
 
-    def _count(self, gateway: int, life: int, name: int, units: float, expire: float) -> None:
+    def _call_counter(self, gateway: int, incarnation: int, name: int, units: float, expire: float) -> None:
         self._calls += 1
-        there = self.now + self._rng.uniform(*HOP_MS)
-        self._at(there, self._called, gateway, life, name, units, expire, self.now)
+        arrives_at = self.now + self._rng.uniform(*NETWORK_DELAY_MS)
+        self._schedule(
+            arrives_at, self._counter_call_arrived, gateway, incarnation, name, units, expire, self.now
+        )
 
-    def _called(self, gateway: int, life: int, name: int, units: float, expire: float, sent: float) -> None:
+    def _counter_call_arrived(
+        self, gateway: int, incarnation: int, name: int, units: float, expire: float, sent: float
+    ) -> None:
         answer = self.counter.call(self.now, gateway, name, units, expire)
-        late = sent + self.scenario.counter_timeout_ms
-        back = answer.at_ms + self._rng.uniform(*HOP_MS)
+        times_out_at = sent + self.scenario.counter_timeout_ms
+        returns_at = answer.at_ms + self._rng.uniform(*NETWORK_DELAY_MS)
         verdict = {
             "ok": api.Verdict.OK,
             "full": api.Verdict.QUEUE_FULL,
@@ -243,19 +272,19 @@
             "spoilt": api.Verdict.TIMEOUT,
             "silent": api.Verdict.TIMEOUT,
         }[answer.outcome]
-        if answer.outcome == "silent" or back > late:
-            verdict, back = api.Verdict.TIMEOUT, late
-        total = api.CounterReply(
-            name, verdict, back - sent, answer.total if verdict is api.Verdict.OK else 0.0
+        if answer.outcome == "silent" or returns_at > times_out_at:
+            verdict, returns_at = api.Verdict.TIMEOUT, times_out_at
+        reply = api.CounterReply(
+            name, verdict, returns_at - sent, answer.total if verdict is api.Verdict.OK else 0.0
         )
-        self._at(back, self._tell, gateway, life, total)
+        self._schedule(returns_at, self._handle_event, gateway, incarnation, reply)
 
-    # The end --------------------------------------------------------------------------------------------
+    # Result ---------------------------------------------------------------------------------------------
 
     def _result(self) -> Result:
-        for made in self._gateways:
-            if isinstance(made, MonitoredEngine):
-                self._watch_calls += made.calls_made
+        for engine in self._gateways:
+            if isinstance(engine, MonitoredEngine):
+                self._watch_calls += engine.calls_made
         seconds = self.now / 1000.0
         return build_result(
             self.scenario,
@@ -268,5 +297,5 @@
 
 
 def play(scenario: Scenario, seed: int) -> Result:
-    """One run from its seed."""
+    """Run a scenario in simulated time."""
     return World(scenario, seed).run()
