--- a/badgeryoke/testbed/checkers/contract_ledger.py
+++ b/badgeryoke/testbed/checkers/contract_ledger.py
@@ -35,15 +35,15 @@
     burst: float
     level: float = 0.0
     units: float = 0.0
-    at: float = 0.0
+    at: float = 0.0  # time up to which the buckets are filled
     last: float = 0.0  # time of the latest request
     asked: dict[int, float] = field(default_factory=dict)  # units requested, by second
-    due: dict[int, float] = field(default_factory=dict)
-    served: dict[int, float] = field(default_factory=dict)
+    due: dict[int, float] = field(default_factory=dict)  # units expected to be served, by second
+    served: dict[int, float] = field(default_factory=dict)  # units served, by second
     times: list[list[float]] = field(default_factory=list)  # busy periods: units due, units served
 
-    def record_request(self, now: float, units: float, cut: bool = False) -> tuple[int, bool]:
-        """Record a request; `cut` marks one at a partitioned gateway, where no rate is guaranteed.
+    def record_request(self, now: float, units: float, partitioned: bool = False) -> tuple[int, bool]:
+        """Record a request; `partitioned` marks one at a partitioned gateway, where no rate is guaranteed.
 
         Returns the busy period and whether the request counts, as `record_served` needs them.
         """
@@ -59,7 +59,7 @@
         due = min(units, self.units)
         self.units -= due
         self.times[-1][0] += due
-        if cut:
+        if partitioned:
             return len(self.times) - 1, False
         second = int(now // 1000.0)
         self.asked[second] = self.asked.get(second, 0.0) + units
@@ -68,44 +68,44 @@
             self.due[second] = self.due.get(second, 0.0) + units
         return len(self.times) - 1, True
 
-    def record_served(self, now: float, units: float, asked: tuple[int, bool]) -> None:
-        """Record units served of a request; `asked` is what `record_request` returned for it."""
-        time, counts = asked
-        self.times[time][1] += units
+    def record_served(self, now: float, units: float, request: tuple[int, bool]) -> None:
+        """Record units served of a request; `request` is what `record_request` returned for it."""
+        period, counts = request
+        self.times[period][1] += units
         if counts:
             second = int(now // 1000.0)
             self.served[second] = self.served.get(second, 0.0) + units
 
     def served_fraction_by_second(self, begin: float, end: float, losses: list[float]) -> dict[int, float]:
         """The served fraction of the expected units, for each second that counts."""
-        made: dict[int, float] = {}
-        for second, asked in sorted(self.asked.items()):
+        fractions: dict[int, float] = {}
+        for second, requested in sorted(self.asked.items()):
             at = second * 1000.0
             expected = min(self.rate, self.due.get(second, 0.0))
             if (
-                asked >= self.rate
+                requested >= self.rate
                 and expected > UNITS_TOLERANCE
                 and begin <= at
                 and at + 1000.0 <= end
                 and not any(at - EXCLUDED_AFTER_LOSS_MS < loss < at + 1000.0 for loss in losses)
             ):
-                made[second] = min(self.served.get(second, 0.0) / expected, 1.0)
-        return made
+                fractions[second] = min(self.served.get(second, 0.0) / expected, 1.0)
+        return fractions
 
     def units_short(self) -> float:
         """Units due and not served, over all busy periods."""
         return sum(max(due - served, 0.0) for due, served in self.times)
 
-    def report_error(self, told: float) -> float:
+    def report_error(self, reported: float) -> float:
         """The relative error of a reported number of short units.
 
         The base is at least a twentieth of the units due, so that few short units do not inflate it.
         """
-        return abs(told - self.units_short()) / max(
+        return abs(reported - self.units_short()) / max(
             self.units_short(), MIN_ERROR_BASE_FRACTION * sum(due for due, _ in self.times), 1.0
         )
 
 
-def worst_second(found: list[dict[int, float]]) -> float | None:
+def worst_second(contracts: list[dict[int, float]]) -> float | None:
     """The smallest served fraction of any second of any contract; None where no second counts."""
-    return min((share for one in found for share in one.values()), default=None)
+    return min((fraction for fractions in contracts for fraction in fractions.values()), default=None)
--- a/badgeryoke/testbed/checkers/history_checker.py
+++ b/badgeryoke/testbed/checkers/history_checker.py
@@ -25,7 +25,7 @@
     value: str | None  # None: a read
     invoked: float
     returned: float = math.inf
-    outcome: str = "unknown"  # "answered", "refused" (never taken) or "unknown"
+    outcome: str = "unknown"  # "answered", "refused" (never applied) or "unknown"
     result: str | None = None
     through: str = ""  # the member that the latest attempt was sent to
 
@@ -70,15 +70,15 @@
         else:
             after[op.result] = op
     # An unanswered write that was never observed may not have happened, and an unanswered read shows nothing.
-    loose = sorted(
+    unknown_writes = sorted(
         (op for op in ops if op.outcome == "unknown" and op.value is not None and op.value in seen),
         key=lambda op: op.invoked,
     )
-    wanted = len(seen | {op.value for op in after.values()})
-    tried: dict[tuple[str | None, int], float] = {}
+    value_count = len(seen | {op.value for op in after.values()})
+    visited: dict[tuple[str | None, int], float] = {}
     stack: list[tuple[str | None, int, float, int]] = [
         (first, 0, -math.inf, 1)
-    ]  # value, loose placed, latest, values
+    ]  # value, bit set of placed unknown writes, latest invocation, number of values
     steps = 0
     while stack:
         value, placed, latest, values = stack.pop()
@@ -86,22 +86,22 @@
             steps += 1
             if steps > MAX_SEARCH_STEPS:
                 return None
-            if tried.get((value, placed), math.inf) <= latest:
+            if visited.get((value, placed), math.inf) <= latest:
                 break
-            tried[value, placed] = latest
-            good = True
+            visited[value, placed] = latest
+            reads_fit = True
             for op in reads.get(value, ()):
-                good &= op.returned >= latest
+                reads_fit &= op.returned >= latest
                 latest = max(latest, op.invoked)
-            if not good:
+            if not reads_fit:
                 break
             following = after.get(value)
             if following is None:
-                if values >= wanted:
+                if values >= value_count:
                     return True
                 stack += [
                     (op.value, placed | 1 << at, max(latest, op.invoked), values + 1)
-                    for at, op in reversed(list(enumerate(loose)))
+                    for at, op in reversed(list(enumerate(unknown_writes)))
                     if not placed >> at & 1
                 ]
                 break
@@ -113,36 +113,38 @@
 
 def check_history(ops: list[Operation]) -> Verdict:
     """Check a complete history, its final reads included, key by key."""
-    made = Verdict()
+    verdict = Verdict()
     keys: dict[str, list[Operation]] = {}
     for op in ops:
         keys.setdefault(op.key, []).append(op)
-    for key, mine in keys.items():
-        writes = [op for op in mine if op.value is not None]
-        made.acknowledged += sum(op.outcome == "answered" for op in writes)
+    for key, key_ops in keys.items():
+        writes = [op for op in key_ops if op.value is not None]
+        verdict.acknowledged += sum(op.outcome == "answered" for op in writes)
         before = [op.result for op in writes if op.outcome == "answered"]
-        read = {op.result for op in mine if op.value is None and op.outcome == "answered"}
+        read = {op.result for op in key_ops if op.value is None and op.outcome == "answered"}
         known = {op.value: op for op in writes}
-        for value in sorted({one for one in (*before, *read) if one is not None}):
+        for value in sorted({result for result in (*before, *read) if result is not None}):
             if value not in known:
-                made.findings.append(Finding("made-up", f"{key}: {value!r} was never written"))
+                verdict.findings.append(Finding("made-up", f"{key}: {value!r} was never written"))
             elif known[value].outcome == "refused":
-                made.findings.append(Finding("refused-but-taken", f"{key}: {value!r} ({known[value].id})"))
+                verdict.findings.append(Finding("refused-but-taken", f"{key}: {value!r} ({known[value].id})"))
         twice = len(before) - len(set(before))
         if twice:
-            made.twice += twice
-            made.findings.append(Finding("twice", f"{key}: {twice} values stood before two writes each"))
-        explained = is_linearizable(mine)
+            verdict.twice += twice
+            verdict.findings.append(Finding("twice", f"{key}: {twice} values stood before two writes each"))
+        explained = is_linearizable(key_ops)
         if explained is None:
-            made.findings.append(Finding("undecided", f"{key}: {_describe_latest(mine)}"))
+            verdict.findings.append(Finding("undecided", f"{key}: {_describe_latest(key_ops)}"))
         if explained is not False:
             continue
-        gone = _lost_writes(mine)
-        made.lost += gone
-        made.findings.append(Finding("lost" if gone else "not-linear", f"{key}: {_describe_latest(mine)}"))
-        if not gone and not twice:
-            made.lost += 1  # a response that no order explains: an acknowledgement is wrong
-    return made
+        lost_writes = _lost_writes(key_ops)
+        verdict.lost += lost_writes
+        verdict.findings.append(
+            Finding("lost" if lost_writes else "not-linear", f"{key}: {_describe_latest(key_ops)}")
+        )
+        if not lost_writes and not twice:
+            verdict.lost += 1  # a response that no order explains: an acknowledgement is wrong
+    return verdict
 
 
 def _lost_writes(ops: list[Operation]) -> int:
@@ -150,8 +152,8 @@
     before = {op.result for op in ops if op.value is not None and op.outcome == "answered"}
     last = max((op.invoked for op in ops if op.value is None and op.outcome == "answered"), default=math.inf)
     final = {op.result for op in ops if op.value is None and op.outcome == "answered" and op.invoked == last}
-    open_ones = sum(op.outcome == "unknown" and op.value is not None for op in ops)
-    left = [
+    unknown_writes = sum(op.outcome == "unknown" and op.value is not None for op in ops)
+    missing = [
         op
         for op in ops
         if op.value is not None
@@ -159,7 +161,7 @@
         and op.value not in before
         and op.value not in final
     ]
-    return max(len(left) - open_ones, 0) if final else 0
+    return max(len(missing) - unknown_writes, 0) if final else 0
 
 
 def _describe_latest(ops: list[Operation], max_operations: int = 14) -> str:
--- a/badgeryoke/testbed/checkers/quota_checker.py
+++ b/badgeryoke/testbed/checkers/quota_checker.py
@@ -43,7 +43,7 @@
     ceiling: TokenBucket | None
     sent: float = 0.0
     beyond: float = 0.0
-    lowest: float = 0.0  # level of the ceiling's bucket; negative when overdrawn
+    lowest_level: float = 0.0  # lowest level of the ceiling's bucket; negative when overdrawn
 
 
 @dataclass(slots=True)
@@ -84,12 +84,12 @@
     def __init__(
         self,
         plans: tuple[PlanText, ...],
-        trouble: tuple[float, float],
+        fault_period: tuple[float, float],
         started: float = 0.0,
         step_ms: float = 250.0,
     ) -> None:
         self._plans = {plan.name: plan for plan in plans}
-        self._fault_period, self._started, self.step_ms = trouble, started, step_ms
+        self._fault_period, self._started, self.step_ms = fault_period, started, step_ms
         self._accounts: dict[int, CustomerLedger] = {}
         self._unanswered: dict[str, tuple[str, float]] = {}
         self._sums: dict[str, UnitTotals] = {plan.name: UnitTotals() for plan in plans}
@@ -99,21 +99,21 @@
         self._forwarded_ids: set[str] = set()
 
     def _account(self, customer: int, plan: str) -> CustomerLedger:
-        found = self._accounts.get(customer)
-        if found is None:
+        account = self._accounts.get(customer)
+        if account is None:
             text = self._plans[plan]
             ceiling = (
                 TokenBucket(text.ceiling_rate, text.ceiling_burst, self._started)
                 if text.ceiling_rate > 0
                 else None
             )
-            found = self._accounts[customer] = CustomerLedger(
+            account = self._accounts[customer] = CustomerLedger(
                 text,
                 TokenBucket(text.rate, text.burst, self._started),
                 TokenBucket(text.rate, text.burst, self._started),
                 ceiling,
             )
-        return found
+        return account
 
     def _totals_at(self, now: float, plan: str, gateway: int) -> list[UnitTotals]:
         step = self.totals_by_step.setdefault(int((now - self._started) // self.step_ms), {})
@@ -123,11 +123,11 @@
         return sums
 
     def request_sent(
-        self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
+        self, now: float, request_id: str, customer: int, plan: str, units: float, gateway: int
     ) -> None:
         """A client has sent a request; the oracle decides on it at once."""
         self._requests += 1
-        self._unanswered[rid] = plan, now
+        self._unanswered[request_id] = plan, now
         account = self._account(customer, plan)
         fits = account.oracle.fill(now) >= units - UNITS_TOLERANCE
         if fits:
@@ -137,12 +137,12 @@
             sums.oracle += units if fits else 0.0
 
     def attempt_arrived(
-        self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
+        self, now: float, request_id: str, customer: int, plan: str, units: float, gateway: int
     ) -> None:
         """A complete attempt has reached a server; only the first of a request uses units."""
-        if rid in self._forwarded_ids:
+        if request_id in self._forwarded_ids:
             return
-        self._forwarded_ids.add(rid)
+        self._forwarded_ids.add(request_id)
         account = self._account(customer, plan)
         account.sent += units
         fits = account.quota.fill(now) >= units - UNITS_TOLERANCE
@@ -153,29 +153,29 @@
         if account.ceiling is not None:
             account.ceiling.fill(now)
             account.ceiling.level -= units
-            account.lowest = min(account.lowest, account.ceiling.level)
+            account.lowest_level = min(account.lowest_level, account.ceiling.level)
         for sums in self._totals_at(now, plan, gateway):
             sums.sent += units
             sums.beyond += 0.0 if fits else units
 
-    def response_received(self, now: float, rid: str, kind: str) -> None:
+    def response_received(self, now: float, request_id: str, kind: str) -> None:
         """A final response came: served, refused or failed."""
-        if self._unanswered.pop(rid, None) is None:
+        if self._unanswered.pop(request_id, None) is None:
             self._duplicate_responses += 1
         else:
             self._answers[kind] += 1
 
-    def request_abandoned(self, rid: str) -> None:
+    def request_abandoned(self, request_id: str) -> None:
         """The gateway was lost or the client disconnected, so no response is due."""
-        self._unanswered.pop(rid, None)
+        self._unanswered.pop(request_id, None)
 
     def verdict(self) -> Verdict:
         """The figures of the run; a ceiling counts as broken beyond a twentieth of its depth."""
         excess = max(
             (
-                -one.lowest / one.plan.ceiling_burst
-                for one in self._accounts.values()
-                if one.ceiling is not None
+                -account.lowest_level / account.plan.ceiling_burst
+                for account in self._accounts.values()
+                if account.ceiling is not None
             ),
             default=0.0,
         )
--- a/badgeryoke/testbed/report/__init__.py
+++ b/badgeryoke/testbed/report/__init__.py
@@ -1,1 +1,1 @@
-"""Result folders: figures (JSON), events (JSON lines) and one HTML page with plots as inline SVG."""
+"""Results of runs: figures (JSON), events (JSON lines) and an HTML page with plots as inline SVG."""
--- a/badgeryoke/testbed/report/cluster_figures.py
+++ b/badgeryoke/testbed/report/cluster_figures.py
@@ -1,4 +1,4 @@
-"""The figures of a fleet's run, in simulated time and with real processes alike."""
+"""The figures of a cluster's run, in simulated time or with real processes."""
 
 from __future__ import annotations
 
@@ -8,34 +8,37 @@
 
 @dataclass(slots=True)
 class FleetFigures:
-    """None: does not apply to the run.  Shares are parts of 1."""
+    """The figures of one run; None where a figure does not apply.  Shares are fractions."""
 
     promises_acknowledged: int | None = None
     promises_lost: int | None = None
     promises_twice: int | None = None
-    leaders_in_a_term: int | None = None  # the most, over all groups
-    unavailable_ms: float | None = None  # longest without an acknowledgement while a majority was joined
-    copies_restored_ms: float | None = None  # the longest, from a loss until all copies are whole again
-    # least share of a contract's rate served over a second that asked for it
+    leaders_in_a_term: int | None = None  # the largest number, over all groups and terms
+    # longest time without an acknowledgement while a majority was connected
+    unavailable_ms: float | None = None
+    # longest time from the loss of a member until all copies are complete again
+    copies_restored_ms: float | None = None
+    # smallest fraction of a contract's rate served in a second in which it was requested
     contract_floor: float | None = None
-    contract_over: float | None = None  # most by which leases passed the contract, units a second
-    shortfall_error: float | None = None  # told against true units short
-    lent_share: float | None = None  # capacity used of that offered while reserved capacity was idle
-    connections_over: int | None = None  # most beyond a server's limit
+    contract_over: float | None = None  # largest excess of the leases over the contract, units a second
+    shortfall_error: float | None = None  # relative error of the reported short units
+    lent_share: float | None = None  # used fraction of the reserved capacity that was lent while idle
+    connections_over: int | None = None  # largest excess over a server's connection limit
     roll_state: str | None = None
-    roll_lost: int | None = None  # queries without an answer by the roll
+    roll_lost: int | None = None  # requests left unanswered because of a rolling restart
     invariants_broken: int | None = None
-    roll_ratio: float | None = None  # a roll's time to the least that the limits allow
+    # duration of a rolling restart relative to the shortest that its limits allow
+    roll_ratio: float | None = None
 
     def to_dict(self) -> dict[str, Any]:
-        """As plain values, rounded, in a fixed order."""
+        """The figures as JSON values, rounded, in a fixed order."""
         return {
             key: round(value, 4) if isinstance(value, float) else value for key, value in asdict(self).items()
         }
 
     def violations(self) -> list[str]:
-        """The keys that break a promise whatever was done to the fleet."""
-        found = [
+        """The figures that violate a guarantee, which has to hold under any fault."""
+        keys = [
             key
             for key in (
                 "promises_lost",
@@ -47,24 +50,27 @@
             if getattr(self, key)
         ]
         if (self.leaders_in_a_term or 0) > 1:
-            found.append("leaders_in_a_term")
+            keys.append("leaders_in_a_term")
         if (self.contract_over or 0.0) > 1e-6:
-            found.append("contract_over")
-        return found
+            keys.append("contract_over")
+        return keys
 
 
-LOW_IS_BAD = ("promises_acknowledged", "contract_floor", "lent_share")
+LOWER_IS_WORSE = ("promises_acknowledged", "contract_floor", "lent_share")
 
 
 def worst_and_median(rows: list[dict[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Worst and median of each figure over many runs."""
-    made: dict[str, dict[str, Any]] = {}
+    """Worst and median value of each figure over many runs."""
+    summary: dict[str, dict[str, Any]] = {}
     for key in FleetFigures.__dataclass_fields__:
-        known = sorted(row[key] for row in rows if row[key] is not None)
-        if not known:
-            made[key] = {"worst": None, "median": None}
+        values = sorted(row[key] for row in rows if row[key] is not None)
+        if not values:
+            summary[key] = {"worst": None, "median": None}
         elif key == "roll_state":
-            made[key] = {state: known.count(state) for state in dict.fromkeys(known)}
+            summary[key] = {state: values.count(state) for state in dict.fromkeys(values)}
         else:
-            made[key] = {"worst": known[0 if key in LOW_IS_BAD else -1], "median": known[len(known) // 2]}
-    return made
+            summary[key] = {
+                "worst": values[0 if key in LOWER_IS_WORSE else -1],
+                "median": values[len(values) // 2],
+            }
+    return summary
--- a/badgeryoke/testbed/report/result.py
+++ b/badgeryoke/testbed/report/result.py
@@ -1,4 +1,4 @@
-"""What a run comes to, in simulated time and on sockets alike."""
+"""The result of a run, in simulated time or on sockets."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 from badgeryoke.testbed.checkers.quota_checker import QuotaChecker, Verdict
 from badgeryoke.testbed.scenario.model import Scenario
 
-DEADLINE_MS, SAFE_AIM_MS = 2000.0, 400.0
-ALARMS = {
-    belief.value
-    for belief in CounterState
-    if belief not in (CounterState.UNKNOWN, CounterState.HEALTHY, CounterState.SLOW, CounterState.HEALED)
+DEADLINE_MS, LATENCY_OBJECTIVE_MS = 2000.0, 400.0
+LOSS_STATES = {
+    state.value
+    for state in CounterState
+    if state not in (CounterState.UNKNOWN, CounterState.HEALTHY, CounterState.SLOW, CounterState.HEALED)
 }
-REAL = ("kill", "lose", "freeze", "split", "swap", "spoil", "restore")  # faults that are a loss
-AFTER_MS = 5000.0  # a belief so long after the last fault is a false one
+# Faults that make the counter or its totals unavailable.
+LOSS_FAULTS = ("kill", "lose", "freeze", "split", "swap", "spoil", "restore")
+RECOVERY_MS = 5000.0  # a loss reported later than this after the last fault is a false alarm
 
 
 @dataclass(frozen=True, slots=True)
 class CounterStateReport:
-    """A belief that a gateway came to, at the world's time in ms since the start."""
+    """A change of the counter's state as a gateway detected it, with the time since the start in ms."""
 
     at_ms: float
     gateway: int
@@ -34,13 +35,13 @@
 
 @dataclass
 class Result:
-    """What one run comes to."""
+    """The figures and reports of one run."""
 
     scenario: str
     seed: int
     verdict: Verdict
     stated_error: float
-    detect_ms: float | None  # from the first fault to the first gateway's belief in a loss; None: none did
+    detect_ms: float | None  # from the first fault to the first report of a loss; None if there was none
     false_alarms: int
     calls_a_try: float
     watch_calls_a_second: float
@@ -48,7 +49,7 @@
     totals_by_step: list[dict[str, Any]]
 
     def figures(self) -> dict[str, Any]:
-        """As plain values, in a fixed order."""
+        """The figures as JSON values, in a fixed order."""
         verdict = self.verdict
         return {
             "scenario": self.scenario,
@@ -70,14 +71,16 @@
         }
 
 
-def settings_of(scenario: Scenario, me: int) -> api.Settings:
-    """The settings that a gateway of this scenario is told."""
+def gateway_settings(scenario: Scenario, gateway: int) -> api.Settings:
+    """The decision settings of a gateway of a scenario."""
     return api.Settings(
-        gateway_index=me,
+        gateway_index=gateway,
         gateway_count=scenario.gateways,
         zone="hall-a",
         tick_ms=4.0,
-        classes=(api.RequestClass("balance-check", SAFE_AIM_MS, DEADLINE_MS, api.Idempotency.IDEMPOTENT),),
+        classes=(
+            api.RequestClass("balance-check", LATENCY_OBJECTIVE_MS, DEADLINE_MS, api.Idempotency.IDEMPOTENT),
+        ),
         plans=tuple(
             api.Plan(
                 plan.name,
@@ -112,57 +115,63 @@
 def build_result(
     scenario: Scenario,
     seed: int,
-    referee: QuotaChecker,
+    quota_checker: QuotaChecker,
     state_reports: list[CounterStateReport],
-    calls: int,
+    counter_calls: int,
     watch_calls_a_second: float,
 ) -> Result:
-    """The result, from the referee's books and the beliefs that were shown."""
+    """Build the result of a run from the quota checker's figures and the reported counter states."""
     start, end = scenario.fault_period
-    real = any(fault.word in REAL for fault in scenario.faults)
-    alarms = [report for report in state_reports if report.state in ALARMS]
-    found = [report.at_ms - start for report in alarms if report.at_ms >= start] if real else []
-    away = [report for report in alarms if not real or report.at_ms < start or report.at_ms > end + AFTER_MS]
-    verdict = referee.verdict()
-    line = [
+    has_loss_fault = any(fault.word in LOSS_FAULTS for fault in scenario.faults)
+    loss_reports = [report for report in state_reports if report.state in LOSS_STATES]
+    detection_times = (
+        [report.at_ms - start for report in loss_reports if report.at_ms >= start] if has_loss_fault else []
+    )
+    false_alarms = [
+        report
+        for report in loss_reports
+        if not has_loss_fault or report.at_ms < start or report.at_ms > end + RECOVERY_MS
+    ]
+    verdict = quota_checker.verdict()
+    totals_by_step = [
         {
-            "at_ms": step * referee.step_ms,
+            "at_ms": step * quota_checker.step_ms,
             "gateway": gateway,
             "sent": sums.sent,
             "beyond": sums.beyond,
             "oracle": sums.oracle,
             "asked": sums.asked,
         }
-        for step, row in sorted(referee.totals_by_step.items())
+        for step, row in sorted(quota_checker.totals_by_step.items())
         for gateway, sums in sorted(row.items())
     ]
-    error = max_excess_share(scenario_plans(scenario), scenario.gateways, (end - start) / 1000.0)
+    error = max_excess_share(plans_with_spread(scenario), scenario.gateways, (end - start) / 1000.0)
     return Result(
         scenario.name,
         seed,
         verdict,
         error,
-        min(found, default=None),
-        len(away),
-        calls / max(verdict.tries, 1),
+        min(detection_times, default=None),
+        len(false_alarms),
+        counter_calls / max(verdict.tries, 1),
         watch_calls_a_second,
         state_reports,
-        line,
+        totals_by_step,
     )
 
 
-def within_stated(result: Result) -> bool:
-    """Whether the error that was stated beforehand was kept."""
+def within_error_bounds(result: Result) -> bool:
+    """Whether the run stayed within the error bounds."""
     verdict = result.verdict
     return verdict.ceiling_excess <= CEILING_ERROR_FRACTION and verdict.beyond_share <= result.stated_error
 
 
-def scenario_plans(scenario: Scenario) -> list[tuple[api.Plan, int]]:
-    """Each plan with the widest set of its customers."""
-    plans = {plan.name: plan for plan in settings_of(scenario, 0).plans}
-    widest: dict[str, int] = {}
+def plans_with_spread(scenario: Scenario) -> list[tuple[api.Plan, int]]:
+    """Each plan with the largest number of gateways that one of its customers uses."""
+    plans = {plan.name: plan for plan in gateway_settings(scenario, 0).plans}
+    largest_spread: dict[str, int] = {}
     for customer_group in scenario.customer_groups:
-        widest[customer_group.plan] = max(
-            widest.get(customer_group.plan, 1), min(customer_group.spread[1], scenario.gateways)
+        largest_spread[customer_group.plan] = max(
+            largest_spread.get(customer_group.plan, 1), min(customer_group.spread[1], scenario.gateways)
         )
-    return [(plans[name], spread) for name, spread in sorted(widest.items())]
+    return [(plans[name], spread) for name, spread in sorted(largest_spread.items())]
--- a/badgeryoke/testbed/report/write.py
+++ b/badgeryoke/testbed/report/write.py
@@ -1,4 +1,4 @@
-"""Writing result folders: figures.json, events.jsonl, line.json, scenario.scm and the page report.html."""
+"""Writing of result folders: figures.json, events.jsonl, line.json, scenario.scm and the page report.html."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from jinja2 import Environment, FileSystemLoader
 
 from badgeryoke.testbed.report.plot import Line, bands, chart
-from badgeryoke.testbed.report.result import Result, within_stated
+from badgeryoke.testbed.report.result import Result, within_error_bounds
 from badgeryoke.testbed.scenario.model import Scenario
 from badgeryoke.testbed.scenario.parser import parse
 
-SHOWN = (
+PAGE_FIGURES = (
     "ceiling_excess",
     "beyond_share",
     "sent_of_allowed",
@@ -36,12 +36,12 @@
     figures: dict[str, Any],
     events: list[dict[str, Any]],
 ) -> None:
-    """Everything of a run; the line and the beliefs are the first result's."""
+    """Write all files of a run; line.json and the reported counter states are those of the first result."""
     folder.mkdir(parents=True, exist_ok=True)
     first = results[0]
     figures = {
         **figures,
-        "within_stated": all(map(within_stated, results)),
+        "within_stated": all(map(within_error_bounds, results)),
         "commit": commit(),
         "setup": f"{text.gateways} gateways, {text.servers} servers, "
         f"{sum(customer_group.count for customer_group in text.customer_groups)} customers; watch "
@@ -56,7 +56,7 @@
 
 
 def commit() -> str:
-    """The checkout's commit; empty outside one."""
+    """The short commit id of the checkout; empty outside a git checkout."""
     try:
         return subprocess.run(
             ["git", "rev-parse", "--short", "HEAD"],
@@ -71,18 +71,20 @@
 
 
 def render_folder(folder: Path) -> Path:
-    """The page of one folder; gives its path."""
+    """Render the page of one result folder and return its path."""
     return _render([folder], folder / "report.html", folder.name)
 
 
 def compare_folders(first: Path, second: Path, to: Path | None) -> list[dict[str, Any]]:
-    """The figures of two folders row by row, and both on one page where a path is given."""
-    one, two = (json.loads((folder / "figures.json").read_text()) for folder in (first, second))
+    """Compare the figures of two folders row by row; `to`: also write both to one page."""
+    first_figures, second_figures = (
+        json.loads((folder / "figures.json").read_text()) for folder in (first, second)
+    )
     if to is not None:
         _render([first, second], to, f"{first.name} beside {second.name}")
     return [
-        {"figure": key, "first": _flat(one).get(key), "second": _flat(two).get(key)}
-        for key in sorted(set(_flat(one)) | set(_flat(two)))
+        {"figure": key, "first": _flat(first_figures).get(key), "second": _flat(second_figures).get(key)}
+        for key in sorted(set(_flat(first_figures)) | set(_flat(second_figures)))
     ]
 
 
@@ -106,32 +108,32 @@
 def _run(folder: Path) -> dict[str, Any]:
     figures = json.loads((folder / "figures.json").read_text())
     events = [json.loads(line) for line in (folder / "events.jsonl").read_text().splitlines()]
-    line = json.loads((folder / "line.json").read_text())
+    rows_by_step = json.loads((folder / "line.json").read_text())
     source = (folder / "scenario.scm").read_text()
     text = parse(source)
     seconds = text.length_ms / 1000.0
-    line = [row for row in line if 0 <= row["at_ms"] < text.length_ms]
+    rows_by_step = [row for row in rows_by_step if 0 <= row["at_ms"] < text.length_ms]
     sums: dict[str, dict[float, float]] = {key: defaultdict(float) for key in ("sent", "beyond", "oracle")}
     gateways: dict[int, dict[float, float]] = defaultdict(lambda: defaultdict(float))
-    for row in line:
+    for row in rows_by_step:
         at = row["at_ms"] // 1000.0 + 0.5
-        for key, into in sums.items():
-            into[at] += row[key]
+        for key, values in sums.items():
+            values[at] += row[key]
         gateways[row["gateway"]][at] += row["sent"]
     shaded = text.fault_period[0] / 1000.0, text.fault_period[1] / 1000.0
     marks = [(fault.at_ms / 1000.0, f"{fault.word} {fault.target} {fault.mode}") for fault in text.faults]
     names = {"sent": "sent", "beyond": "beyond quota", "oracle": "all-knowing"}
     units = chart(
-        [Line(names[key], sorted(into.items()), key == "oracle") for key, into in sums.items()],
+        [Line(names[key], sorted(values.items()), key == "oracle") for key, values in sums.items()],
         seconds,
         "units a second",
         shaded,
         marks,
     )
-    each = chart(
+    by_gateway = chart(
         [
-            Line(f"gateway {number + 1}", sorted(into.items()))
-            for number, into in sorted(gateways.items())[:6]
+            Line(f"gateway {number + 1}", sorted(values.items()))
+            for number, values in sorted(gateways.items())[:6]
         ],
         seconds,
         "units a second",
@@ -139,10 +141,12 @@
         marks,
     )
     spread = figures.get("spread", {})
-    rows = [(key, _worded(figures, spread, key)) for key in SHOWN if key in figures or key in spread]
+    rows = [
+        (key, _format_figure(figures, spread, key)) for key in PAGE_FIGURES if key in figures or key in spread
+    ]
     rows += [
-        (f"latency {kind} ms", ", ".join(f"{part} {value}" for part, value in of.items()))
-        for kind, of in figures.get("latency_ms", {}).items()
+        (f"latency {kind} ms", ", ".join(f"{part} {value}" for part, value in percentiles.items()))
+        for kind, percentiles in figures.get("latency_ms", {}).items()
     ]
     rows += [
         (key, figures[key]) for key in ("memory_mb", "emulator_lag_ms", "seeds", "commit") if figures.get(key)
@@ -155,24 +159,24 @@
         "broken": bool(figures["ceiling_broken"]),
         "within": figures["within_stated"],
         "units": units,
-        "by_gateway": each,
+        "by_gateway": by_gateway,
         "source": source,
-        "beliefs": bands(_stretches(text, events, seconds), seconds),
+        "beliefs": bands(_state_periods(text, events, seconds), seconds),
     }
 
 
-def _worded(figures: dict[str, Any], spread: dict[str, Any], key: str) -> Any:
+def _format_figure(figures: dict[str, Any], spread: dict[str, Any], key: str) -> Any:
     if key in spread:
         part = spread[key]
         return f"{part['median']} (worst {part['worst']}, best {part['best']})"
     return figures[key]
 
 
-def _stretches(
+def _state_periods(
     text: Scenario, events: list[dict[str, Any]], seconds: float
 ) -> list[tuple[str, list[tuple[float, float, str]]]]:
-    """The counter as it was, then as each gateway believed it to be."""
-    words = {
+    """The periods of the counter's actual state, then of its state as each gateway detected it."""
+    state_of_fault = {
         "kill": "dead",
         "freeze": "dead",
         "spoil": "dead",
@@ -181,25 +185,27 @@
         "swap": "swapped",
         "restore": "swapped",
     }
-    true: list[tuple[float, str]] = [(0.0, "sound")]
+    actual: list[tuple[float, str]] = [(0.0, "sound")]
     for fault in text.faults:
         if fault.target == "counter":
-            calm = fault.word in ("start", "thaw", "heal") or (fault.word == "slow" and fault.amount <= 1)
-            true.append((fault.at_ms / 1000.0, "sound" if calm else words.get(fault.word, "sound")))
-    rows = [("true", true)]
-    believed: dict[int, list[tuple[float, str]]] = {
+            healthy = fault.word in ("start", "thaw", "heal") or (fault.word == "slow" and fault.amount <= 1)
+            actual.append(
+                (fault.at_ms / 1000.0, "sound" if healthy else state_of_fault.get(fault.word, "sound"))
+            )
+    rows = [("true", actual)]
+    detected: dict[int, list[tuple[float, str]]] = {
         number + 1: [(0.0, "unknown")] for number in range(min(text.gateways, 12))
     }
     for event in events:
-        if event["event"] == "belief" and event["gateway"] in believed:
-            believed[event["gateway"]].append((max(event["at_ms"], 0.0) / 1000.0, event["belief"]))
-    rows += [(f"g{number}", changes) for number, changes in believed.items()]
+        if event["event"] == "belief" and event["gateway"] in detected:
+            detected[event["gateway"]].append((max(event["at_ms"], 0.0) / 1000.0, event["belief"]))
+    rows += [(f"g{number}", changes) for number, changes in detected.items()]
     return [
         (
             name,
             [
-                (at, later[0], word)
-                for (at, word), later in zip(changes, [*changes[1:], (seconds, "")], strict=True)
+                (at, following[0], state)
+                for (at, state), following in zip(changes, [*changes[1:], (seconds, "")], strict=True)
             ],
         )
         for name, changes in rows
