--- a/badgeryoke/testbed/scenario/fields.py
+++ b/badgeryoke/testbed/scenario/fields.py
@@ -1,4 +1,4 @@
-"""Typed reading of a section's fields; every error names line, column and the wrong word.
+"""Typed parsing of a section's fields; every error states line, column and the invalid word.
 
 Times carry ms, s or min, rates /s, amounts u, fractions %, multiples x; a range is written 4..7.
 """
@@ -12,7 +12,7 @@
 
 
 def nearest(word: str, known: list[str]) -> str:
-    """A hint that names the nearest known word, or all of them."""
+    """A hint with the closest known word, or with all known words if none is close."""
     close = difflib.get_close_matches(word, known, 1)
     return f"did you mean {close[0]!r}?" if close else f"known are {', '.join(sorted(known))}"
 
@@ -22,8 +22,10 @@
     return TextError(node.line, node.column, problem)
 
 
-def read_quantity(form: Form, index: int, measures: str, least: float = 0.0, most: float = 1e9) -> Quantity:
-    """The quantity at an index, with the unit that the field measures and within bounds."""
+def read_quantity(
+    form: Form, index: int, measures: str, minimum: float = 0.0, maximum: float = 1e9
+) -> Quantity:
+    """The quantity at an index; it has to have the field's unit and be within bounds."""
     if index >= len(form.items):
         raise error_at(form, f"{form.head}: a {measures} is missing")
     node = form.items[index]
@@ -38,13 +40,13 @@
             "number": "3",
         }[measures]
         raise error_at(node, f"{form.head}: expected a {measures} such as {example}, got {text!r}")
-    if not least <= node.least <= node.most <= most:
-        raise error_at(node, f"{form.head}: {text} is not within {least:g} to {most:g}")
+    if not minimum <= node.minimum <= node.maximum <= maximum:
+        raise error_at(node, f"{form.head}: {text} is not within {minimum:g} to {maximum:g}")
     return node
 
 
 def read_word(form: Form, index: int, known: list[str] | None = None) -> str:
-    """The word at an index, one of the known words where these are given."""
+    """The word at an index; `known` restricts it to these words."""
     if index >= len(form.items) or not isinstance(form.items[index], Word):
         raise error_at(
             form if index >= len(form.items) else form.items[index], f"{form.head}: expected a word"
@@ -57,7 +59,7 @@
 
 
 def read_sections(form: Form, start: int, known: dict[str, Callable[[Form], None]]) -> None:
-    """Call the handler of each section from index `start` on."""
+    """Call the handler of each section from index `start` on; `known` holds the handlers by section name."""
     for node in form.items[start:]:
         if not isinstance(node, Form):
             raise error_at(node, f"{form.head}: expected a list, got {node.text!r}")
@@ -69,24 +71,28 @@
         known[node.head](node)
 
 
-def read_integer(form: Form, index: int = 1, least: int = 1, most: int = 1_000_000) -> int:
+def read_integer(form: Form, index: int = 1, minimum: int = 1, maximum: int = 1_000_000) -> int:
     """The integer at an index, within bounds."""
-    return int(read_quantity(form, index, "number", least, most).least)
+    return int(read_quantity(form, index, "number", minimum, maximum).minimum)
 
 
-def require_cluster(node: Node, word: str, fleet: bool) -> None:
-    """Raise where a word that only a cluster knows is used without one."""
-    if not fleet:
+def require_cluster(node: Node, word: str, has_cluster: bool) -> None:
+    """Raise TextError if a word that requires a cluster is used in a scenario without one."""
+    if not has_cluster:
         raise error_at(node, f"{word}: only where the gateways are a fleet: (gateways N (fleet on))")
 
 
-def read_gateways(form: Form, most: int, start: int = 0) -> tuple[int, ...]:
-    """The gateway numbers in a list, from an index on."""
-    found = []
+def read_gateways(form: Form, gateway_count: int, start: int = 0) -> tuple[int, ...]:
+    """The gateway numbers in a list, from index `start` on."""
+    numbers = []
     for node in form.items[start:]:
-        if not isinstance(node, Quantity) or node.measures != "number" or not 1 <= node.least <= most:
+        if (
+            not isinstance(node, Quantity)
+            or node.measures != "number"
+            or not 1 <= node.minimum <= gateway_count
+        ):
             raise error_at(
-                node, f"expected gateways from 1 to {most}, got {getattr(node, 'text', 'a list')!r}"
+                node, f"expected gateways from 1 to {gateway_count}, got {getattr(node, 'text', 'a list')!r}"
             )
-        found.append(int(node.least))
-    return tuple(found)
+        numbers.append(int(node.minimum))
+    return tuple(numbers)
--- a/badgeryoke/testbed/scenario/model.py
+++ b/badgeryoke/testbed/scenario/model.py
@@ -81,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One checked scenario.  Times in ms."""
+    """One validated scenario.  Times in ms."""
 
     name: str
     about: str = ""
--- a/badgeryoke/testbed/scenario/sexpr.py
+++ b/badgeryoke/testbed/scenario/sexpr.py
@@ -1,4 +1,4 @@
-"""Reading S-expressions with lark; every node keeps its line and column for the errors to come."""
+"""Parsing of S-expressions with lark; every node stores its line and column for error messages."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from lark import Lark, Token, Tree
 from lark.exceptions import UnexpectedInput
 
-MOST_TEXT = 1024 * 1024
+MAX_TEXT_CHARACTERS = 1024 * 1024
 NUMBER = re.compile(r"(-?\d+(?:\.\d+)?)(u/s|ms|min|s|%|x|u|/s)?")
-# Each unit: what it measures, and its size in the testbed's own (ms, units a second, parts of one).
+# For each unit: what it measures, and its factor to the testbed's units (ms, units a second, fractions).
 UNITS = {
     "ms": ("time", 1.0),
     "s": ("time", 1000.0),
@@ -27,7 +27,7 @@
 
 
 class TextError(Exception):
-    """A text that cannot be used: names line, column and word."""
+    """An invalid scenario text; the message states line, column and word."""
 
     def __init__(self, line: int, column: int, problem: str) -> None:
         super().__init__(f"line {line}, column {column}: {problem}")
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Quantity:
-    """A number with what it measures; `most` differs from `least` in a range."""
+    """A number or range with what it measures; `minimum` and `maximum` are equal for a single number."""
 
-    least: float
-    most: float
+    minimum: float
+    maximum: float
     measures: str
     text: str
     line: int
@@ -65,7 +65,7 @@
 
     @property
     def head(self) -> str:
-        """Its first word; empty where it does not begin with one."""
+        """The first word; empty if the list does not begin with a word."""
         return self.items[0].text if self.items and isinstance(self.items[0], Word) else ""
 
 
@@ -79,13 +79,13 @@
 
 
 def read(text: str) -> Form:
-    """The one list that a text holds; raises TextError."""
-    if len(text) > MOST_TEXT:
-        raise TextError(1, 1, f"longer than {MOST_TEXT} characters")
+    """Parse a text that holds a single list; raises TextError."""
+    if len(text) > MAX_TEXT_CHARACTERS:
+        raise TextError(1, 1, f"longer than {MAX_TEXT_CHARACTERS} characters")
     try:
         tree = _parser().parse(text)
-    except UnexpectedInput as fault:
-        token = getattr(fault, "token", None)
+    except UnexpectedInput as error:
+        token = getattr(error, "token", None)
         if token is not None and token.type == "$END":
             line = text.rstrip().count("\n") + 1
             raise TextError(
@@ -93,8 +93,8 @@
                 len(text.rstrip().rsplit("\n", 1)[-1]) + 1,
                 "the text ends inside a list: a ) is missing",
             ) from None
-        found = str(token) if token is not None else text[fault.pos_in_stream or 0 :][:1]
-        raise TextError(fault.line, fault.column, f"unexpected {found!r}") from None
+        found = str(token) if token is not None else text[error.pos_in_stream or 0 :][:1]
+        raise TextError(error.line, error.column, f"unexpected {found!r}") from None
     root = tree.children[0]
     assert isinstance(root, Tree)
     return _form(root)
