--- a/badgeryoke/testbed/__init__.py
+++ b/badgeryoke/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""The laboratory: scenarios, played in simulated time or on sockets, and a referee that trusts no gateway.
+"""The testbed: runs scenarios in simulated time or on sockets and checks them independently of the gateways.
 
-It imports the product, and the product never imports it.
+The testbed imports the gateway's code; the gateway's code must not import the testbed.
 """
--- a/badgeryoke/testbed/cluster_benchmark.py
+++ b/badgeryoke/testbed/cluster_benchmark.py
@@ -1,16 +1,18 @@
-"""What a fleet costs on this machine: real processes, one a member, each with nothing but the fleet's part in
-it, their links on loopback and their stores in a folder; and the same decisions in simulated time.
+"""Benchmark of a cluster on this machine.
+
+Each member is a process that runs only the cluster service, with links on loopback and its store in a temporary
+folder.  Some commands use the simulation or complete gateways instead.
 
     python -m badgeryoke.testbed.cluster_benchmark COMMAND
 
-    idle [members] [groups]: CPU a second of a member that has nothing to do
-    promises [seconds]: acknowledged promises a second, and how long each took
+    idle [members] [groups]: CPU a second of an idle member
+    promises [seconds]: acknowledged writes a second, and their latency
     groups [seconds]: the same with 1, 4 and 16 groups
-    messages: messages a second a member, 3, 40 and 200 members, simulated
-    ratio [queries/s] [pairs]: CPU of a whole gateway, without a fleet and in one, in turns
+    messages: messages a second a member, with 3, 40 and 200 members, simulated
+    ratio [queries/s] [pairs]: CPU of a complete gateway without a cluster and in one, alternately
     rules: CPU with and without the checks of the invariants
 
-Figures go to docs/measurements.md, "Promises of a fleet".
+The figures are recorded in docs/measurements.md, "Promises of a fleet".
 """
 
 from __future__ import annotations
@@ -44,29 +46,29 @@
 from badgeryoke.testbed.cluster_simulation.generated_plans import play_seed
 from badgeryoke.testbed.cluster_simulation.world import FleetWorld
 from badgeryoke.testbed.emulator.resp import words
-from badgeryoke.testbed.emulator.run import Stage as RealStage
+from badgeryoke.testbed.emulator.run import Stage as ScenarioRun
 from badgeryoke.testbed.report.result import DEADLINE_MS
 from badgeryoke.testbed.scenario.model import PlanText, Scenario
 
-SERVERS = 8
-VALUE = "v" * 200
-SETTLE_S = 4.0
+SERVER_COUNT = 8
+WRITE_VALUE = "v" * 200
+SETTLE_S = 4.0  # wait after the start, before measuring
 
 
-class Wanting:
-    """A server link in whose use connections are."""
+class StubUpstream:
+    """An upstream that always needs two connections."""
 
     connections_needed = 2
 
     def close_connections(self, count: int, include_in_use: bool) -> None:
-        """None is open."""
+        """Do nothing: no connection is open."""
 
     def capacity_available(self) -> None:
-        """None is dialled."""
+        """Do nothing: no connection is opened."""
 
 
-class Idle:
-    """A gateway that no roll asks anything of."""
+class StubGateway:
+    """A gateway without clients, which drains at once."""
 
     drained, unanswered = False, 0
 
@@ -79,7 +81,7 @@
         return ""
 
     def end(self) -> None:
-        """Nothing ends here."""
+        """Do nothing."""
 
 
 # A member's process
@@ -87,63 +89,63 @@
 
 
 async def _member(fleet: ClusterSettings, pools: bool) -> None:
-    """Does what a line on stdin asks, one JSON line for each."""
+    """Run a member: execute the JSON command in each line of stdin and print a JSON line with its result."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     service = ClusterService(fleet, fleet.me)
     if pools:
         service.connection_leases = ConnectionLeases(
-            fleet, ActorScheduler(loop), service.clock.monotonic_ms, 30_000.0, Idle()
+            fleet, ActorScheduler(loop), service.clock.monotonic_ms, 30_000.0, StubGateway()
         )
-        service.connection_leases.update_servers(f"s{at}" for at in range(SERVERS))
-        for at in range(SERVERS):
+        service.connection_leases.update_servers(f"s{at}" for at in range(SERVER_COUNT))
+        for at in range(SERVER_COUNT):
             lease = service.connection_leases.create_lease(f"s{at}")
             assert lease is not None
-            lease.upstream = Wanting()
+            lease.upstream = StubUpstream()
     service.start()
     profile: cProfile.Profile | None = None
     while line := await reader.readline():
-        asked = json.loads(line)
-        match asked["do"]:
+        command = json.loads(line)
+        match command["do"]:
             case "load":
-                made: Any = await _load(service, asked["under_way"], asked["seconds"])
+                result: Any = await _load(service, command["under_way"], command["seconds"])
             case "profile":
                 profile = cProfile.Profile()
                 profile.enable()
-                made = None
+                result = None
             case "profiled":
                 assert profile is not None
                 profile.disable()
                 pstats.Stats(profile, stream=sys.stderr).sort_stats("tottime").print_stats(45)
-                made = None
+                result = None
             case _:
-                made = service.status()
-        print(json.dumps([time.process_time(), made]), flush=True)
+                result = service.status()
+        print(json.dumps([time.process_time(), result]), flush=True)
     service.close()
 
 
 async def _load(service: ClusterService, under_way: int, seconds: float) -> list[float]:
-    """Promise without a pause, so many under way; ms that each acknowledged one took."""
-    took: list[float] = []
+    """Write continuously with `under_way` writes in flight; returns the latency of each acknowledged one in ms."""
+    latencies_ms: list[float] = []
     until = time.monotonic() + seconds
     prefix = f"{service.member}-{time.monotonic_ns()}"
 
-    async def one(which: int) -> None:
+    async def write_in_turn(writer: int) -> None:
         at = 0
-        while (begun := time.monotonic()) < until:
+        while (started_at := time.monotonic()) < until:
             at += 1
-            name = f"{prefix}-{which}-{at % 32}"
-            result = await service.call(PutValue(id=f"{prefix}-{which}-{at}", name=name, value=VALUE))
+            name = f"{prefix}-{writer}-{at % 32}"
+            result = await service.call(PutValue(id=f"{prefix}-{writer}-{at}", name=name, value=WRITE_VALUE))
             if isinstance(result, ApplyResult) and result.error is None and time.monotonic() < until:
-                took.append((time.monotonic() - begun) * 1000.0)
+                latencies_ms.append((time.monotonic() - started_at) * 1000.0)
 
-    await asyncio.gather(*(one(which) for which in range(under_way)))
-    return took
+    await asyncio.gather(*(write_in_turn(writer) for writer in range(under_way)))
+    return latencies_ms
 
 
-class Member:
-    """Its process, from here."""
+class MemberProcess:
+    """Handle of a member's process."""
 
     def __init__(self, fleet: ClusterSettings, pools: bool) -> None:
         settings = msgspec.json.encode(fleet).decode()
@@ -157,36 +159,36 @@
         ]
         self.process = subprocess.Popen(command, stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True)
 
-    def ask(self, **what: Any) -> None:
-        """Write the line; `told` has the answer."""
+    def send_command(self, **command: Any) -> None:
+        """Send a command to the process; `read_result` returns its result."""
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps(what) + "\n")
+        self.process.stdin.write(json.dumps(command) + "\n")
         self.process.stdin.flush()
 
-    def told(self) -> tuple[float, Any]:
-        """CPU seconds so far, and the answer."""
+    def read_result(self) -> tuple[float, Any]:
+        """Read the process's CPU seconds so far, and the result of the command."""
         assert self.process.stdout is not None
-        cpu, made = json.loads(self.process.stdout.readline())
-        return cpu, made
+        cpu, result = json.loads(self.process.stdout.readline())
+        return cpu, result
 
     def end(self) -> None:
-        """Its stdin ends, and it with that."""
+        """Close the process's stdin, which ends it, and wait."""
         assert self.process.stdin is not None
         self.process.stdin.close()
         self.process.wait(10.0)
 
 
-def _ports(count: int) -> list[int]:
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+def _free_ports(count: int) -> list[int]:
+    sockets = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
     try:
-        return [one.getsockname()[1] for one in held]
+        return [sock.getsockname()[1] for sock in sockets]
     finally:
-        for one in held:
-            one.close()
+        for sock in sockets:
+            sock.close()
 
 
-class Stage:
-    """A fleet of such members, founded and with a leader for each group."""
+class BenchmarkCluster:
+    """A cluster of member processes, bootstrapped and with a leader for each group."""
 
     def __init__(
         self, members: int, copies: int, groups: int = 8, fsync: bool = True, pools: bool = False
@@ -194,10 +196,10 @@
         self._folder = tempfile.TemporaryDirectory(prefix="bench-fleet-")
         entries = tuple(
             MemberEntry(f"m{at}", "hall-" + "ab"[at % 2], f"127.0.0.1:{port}")
-            for at, port in enumerate(_ports(members))
+            for at, port in enumerate(_free_ports(members))
         )
         self.members = [
-            Member(
+            MemberProcess(
                 ClusterSettings(
                     True,
                     "bench",
@@ -214,99 +216,103 @@
             for one in entries
         ]
         until = time.monotonic() + 30.0
-        while not self._whole(groups):
+        while not self._has_all_leaders(groups):
             if time.monotonic() > until:
                 self.end()
-                raise TimeoutError("the fleet did not come up")
+                raise TimeoutError("the cluster did not elect all leaders within 30 s")
             time.sleep(0.2)
         time.sleep(SETTLE_S)
 
-    def _whole(self, groups: int) -> bool:
-        led: dict[str, str] = {}
-        for _, status in self.all(do="status"):
-            led.update({group: one["leader"] for group, one in status["groups"].items() if one["leader"]})
-        return len(led) == groups + 1
+    def _has_all_leaders(self, groups: int) -> bool:
+        leaders: dict[str, str] = {}
+        for _, status in self.send_to_all(do="status"):
+            leaders.update({group: one["leader"] for group, one in status["groups"].items() if one["leader"]})
+        return len(leaders) == groups + 1
 
-    def all(self, **what: Any) -> list[tuple[float, Any]]:
-        """Ask all at once."""
+    def send_to_all(self, **command: Any) -> list[tuple[float, Any]]:
+        """Send a command to all members and return their results."""
         for one in self.members:
-            one.ask(**what)
-        return [one.told() for one in self.members]
+            one.send_command(**command)
+        return [one.read_result() for one in self.members]
 
     def end(self) -> None:
-        """All processes and folders."""
+        """End all processes and remove their folders."""
         for one in self.members:
             one.end()
         self._folder.cleanup()
 
-    def __enter__(self) -> Stage:
+    def __enter__(self) -> BenchmarkCluster:
         return self
 
     def __exit__(self, *_: object) -> None:
         self.end()
 
 
-def idle(members: int = 5, groups: int = 8, seconds: float = 10.0, profile: bool = False) -> None:
-    """CPU of members that have nothing to do."""
-    with Stage(members, min(3, members), groups, pools=True) as stage:
+def measure_idle(members: int = 5, groups: int = 8, seconds: float = 10.0, profile: bool = False) -> None:
+    """Measure the CPU use of idle members."""
+    with BenchmarkCluster(members, min(3, members), groups, pools=True) as cluster:
         if profile:
-            stage.members[0].ask(do="profile")
-            stage.members[0].told()
-        before = stage.all(do="status")
-        begun = time.monotonic()
+            cluster.members[0].send_command(do="profile")
+            cluster.members[0].read_result()
+        before = cluster.send_to_all(do="status")
+        started_at = time.monotonic()
         time.sleep(seconds)
-        after = stage.all(do="status")
-        took = time.monotonic() - begun
+        after = cluster.send_to_all(do="status")
+        elapsed = time.monotonic() - started_at
         if profile:
-            stage.members[0].ask(do="profiled")
-            stage.members[0].told()
+            cluster.members[0].send_command(do="profiled")
+            cluster.members[0].read_result()
         for (cpu, was), (later, now) in zip(before, after, strict=True):
             sent = sum(one["sent"] for one in now["links"].values()) - sum(
                 one["sent"] for one in was["links"].values()
             )
             leads = sum(one["leader"] == now["me"] for one in now["groups"].values())
             print(
-                f"{now['me']:14} {(later - cpu) / took * 1000.0:6.1f} ms of CPU a second, "
-                f"{sent / took:6.1f} messages, {len(now['groups'])} copies, leads {leads}, "
-                f"{(now['store']['transactions'] - was['store']['transactions']) / took:.1f} transactions"
+                f"{now['me']:14} {(later - cpu) / elapsed * 1000.0:6.1f} ms of CPU a second, "
+                f"{sent / elapsed:6.1f} messages, {len(now['groups'])} copies, leads {leads}, "
+                f"{(now['store']['transactions'] - was['store']['transactions']) / elapsed:.1f} transactions"
             )
 
 
-def _figures(stage: Stage, what: str, seconds: float, under_way: int) -> None:
-    """Load it from all members at once, so many promises under way in all."""
-    each = max(under_way // len(stage.members), 1)
-    loading = stage.members if under_way > 1 else stage.members[:1]
-    before = stage.all(do="status")
+def _measure_writes(cluster: BenchmarkCluster, label: str, seconds: float, under_way: int) -> None:
+    """Write through all members at once, with `under_way` writes in flight in all, and print the figures."""
+    each = max(under_way // len(cluster.members), 1)
+    loading = cluster.members if under_way > 1 else cluster.members[:1]
+    before = cluster.send_to_all(do="status")
     for one in loading:
-        one.ask(do="load", under_way=each, seconds=seconds)
-    took = sorted(ms for one in loading for ms in one.told()[1])
-    cpu = sum(later - was for (was, _), (later, _) in zip(before, stage.all(do="status"), strict=True))
+        one.send_command(do="load", under_way=each, seconds=seconds)
+    latencies_ms = sorted(ms for one in loading for ms in one.read_result()[1])
+    cpu = sum(
+        later - was for (was, _), (later, _) in zip(before, cluster.send_to_all(do="status"), strict=True)
+    )
     print(
-        f"{what}, {each * len(loading)} under way: {len(took) / seconds:7.0f} a second, p50 "
-        f"{took[len(took) // 2]:6.1f} ms, p99 {took[len(took) * 99 // 100]:6.1f} ms, "
-        f"{cpu / max(len(took), 1) * 1e6:6.0f} us of CPU each, all members",
+        f"{label}, {each * len(loading)} under way: {len(latencies_ms) / seconds:7.0f} a second, p50 "
+        f"{latencies_ms[len(latencies_ms) // 2]:6.1f} ms, p99 {latencies_ms[len(latencies_ms) * 99 // 100]:6.1f} ms, "
+        f"{cpu / max(len(latencies_ms), 1) * 1e6:6.0f} us of CPU each, all members",
         flush=True,
     )
 
 
-def promises(seconds: float) -> None:
-    """One process without copies, then three and five with."""
+def measure_writes(seconds: float) -> None:
+    """Measure writes with one, three and five replicas."""
     for fsync in (True, False):
         for copies in (1, 3, 5):
-            with Stage(copies, copies, fsync=fsync) as stage:
+            with BenchmarkCluster(copies, copies, fsync=fsync) as cluster:
                 for under_way in (1, 60):
-                    _figures(stage, f"copies {copies}, fsync {'on ' if fsync else 'off'}", seconds, under_way)
+                    _measure_writes(
+                        cluster, f"copies {copies}, fsync {'on ' if fsync else 'off'}", seconds, under_way
+                    )
 
 
-def by_groups(seconds: float) -> None:
-    """Three members, three copies."""
+def measure_groups(seconds: float) -> None:
+    """Measure writes with three members and replicas, by the number of groups."""
     for groups in (1, 4, 16):
-        with Stage(3, 3, groups) as stage:
-            _figures(stage, f"groups {groups:2}, copies 3, fsync on", seconds, 60)
+        with BenchmarkCluster(3, 3, groups) as cluster:
+            _measure_writes(cluster, f"groups {groups:2}, copies 3, fsync on", seconds, 60)
 
 
-def messages() -> None:
-    """An idle fleet in simulated time: five seconds of it, from when it has been founded for long."""
+def measure_messages() -> None:
+    """Count the messages of an idle cluster in 5 s of simulated time, 20 s after its start."""
     for members in (3, 40, 200):
         world = FleetWorld(Plan(seed=1, members=members, halls=2, length_ms=25_000.0))
         for name in world.machines:
@@ -325,10 +331,10 @@
         )
 
 
-def rules(rounds: int = 7) -> None:
-    """The same seeds played with the checks, and with an object in their place that looks at nothing."""
+def measure_invariants(rounds: int = 7) -> None:
+    """Compare the CPU time of the same seeds with the invariant checks and with stubs in their place."""
     checked = RaftNode._check, Invariants.check
-    took: dict[bool, list[float]] = {True: [], False: []}
+    cpu_s: dict[bool, list[float]] = {True: [], False: []}
     for at in range(2 * rounds):
         on = at % 2 == 0
         if on:
@@ -336,19 +342,20 @@
         else:
             RaftNode._check = lambda self, rule, holds, facts: bool(holds)  # type: ignore[method-assign]
             Invariants.check = lambda self, rule, holds, facts: bool(holds)  # type: ignore[method-assign]
-        begun = time.process_time()
+        started_at = time.process_time()
         for seed in (9, 18):
             play_seed(seed, 5, "lossless")
-        took[on].append(time.process_time() - begun)
+        cpu_s[on].append(time.process_time() - started_at)
     RaftNode._check, Invariants.check = checked  # type: ignore[method-assign]
-    ratio = statistics.median(one / off for one, off in zip(took[True], took[False], strict=True))
+    ratio = statistics.median(one / off for one, off in zip(cpu_s[True], cpu_s[False], strict=True))
     print(
-        f"checked {min(took[True]):.2f} s, not {min(took[False]):.2f} s, ratio {ratio:.3f} (middle of {rounds} pairs)"
+        f"checked {min(cpu_s[True]):.2f} s, not {min(cpu_s[False]):.2f} s, "
+        f"ratio {ratio:.3f} (middle of {rounds} pairs)"
     )
 
 
-def _cpu(stage: RealStage) -> float:
-    """CPU seconds of its first gateway, all threads."""
+def _cpu(stage: ScenarioRun) -> float:
+    """CPU seconds of the first gateway, all threads."""
     process = stage._gateways[0].process
     assert process is not None
     return (
@@ -357,17 +364,17 @@
     )
 
 
-async def _queries(stage: RealStage, rate: float, seconds: float) -> dict[str, int]:
-    """Ask its first gateway at an even rate; how they ended."""
+async def _send_requests(stage: ScenarioRun, rate: float, seconds: float) -> dict[str, int]:
+    """Send requests to the first gateway at a constant rate; returns the number of each outcome."""
     loop, counts, out = asyncio.get_running_loop(), dict[str, int](), [0]
-    begun = loop.time()
+    started_at = loop.time()
 
     def done(kind: str, wait_ms: float) -> None:
         out[0] -= 1
         counts[kind] = counts.get(kind, 0) + 1
 
     for at in range(int(rate * seconds)):
-        await asyncio.sleep(max(begun + at / rate - loop.time(), 0.0))
+        await asyncio.sleep(max(started_at + at / rate - loop.time(), 0.0))
         stage._rids += 1
         out[0] += 1
         fields = f"c=balance-check,t=dealer,d={DEADLINE_MS:.0f},units=1,spread=1,first=0".encode()
@@ -378,8 +385,8 @@
     return counts
 
 
-async def ratio(rate: float, pairs: int, seconds: float = 1.5, members: int = 5) -> None:
-    """CPU of a real gateway of no fleet, and of one of a fleet, under the same queries in turns."""
+async def measure_ratio(rate: float, pairs: int, seconds: float = 1.5, members: int = 5) -> None:
+    """Compare the CPU use of a gateway without a cluster and of one in a cluster, under the same load in turns."""
     base = Scenario(
         "bench",
         gateways=1,
@@ -392,64 +399,65 @@
         counter_calls=1e5,
     )
     stages = {
-        "off": RealStage(base, 1),
-        "on": RealStage(
+        "off": ScenarioRun(base, 1),
+        "on": ScenarioRun(
             replace(base, gateways=members, started=members, fleet=True, halls=2, connections=24), 1
         ),
     }
-    used: dict[str, list[float]] = {"off": [], "on": []}
-    idle_: dict[str, list[float]] = {"off": [], "on": []}
-    ends: dict[str, dict[str, int]] = {"off": {}, "on": {}}
+    loaded_cpu: dict[str, list[float]] = {"off": [], "on": []}
+    idle_cpu: dict[str, list[float]] = {"off": [], "on": []}
+    outcomes: dict[str, dict[str, int]] = {"off": {}, "on": {}}
     loop = asyncio.get_running_loop()
     try:
         for stage in stages.values():
             await stage.open()
-            await _queries(stage, rate, 2.0)
+            await _send_requests(stage, rate, 2.0)
         await asyncio.sleep(SETTLE_S)
         for _ in range(pairs):
             for kind, stage in stages.items():
-                for what, many in ((idle_, 0.0), (used, rate)):
-                    before, begun = _cpu(stage), loop.time()
-                    if many:
-                        for end, count in (await _queries(stage, many, seconds)).items():
-                            ends[kind][end] = ends[kind].get(end, 0) + count
+                for samples, request_rate in ((idle_cpu, 0.0), (loaded_cpu, rate)):
+                    before, started_at = _cpu(stage), loop.time()
+                    if request_rate:
+                        for end, count in (await _send_requests(stage, request_rate, seconds)).items():
+                            outcomes[kind][end] = outcomes[kind].get(end, 0) + count
                     else:
                         await asyncio.sleep(seconds)
-                    what[kind].append((_cpu(stage) - before) / (loop.time() - begun) * 1000.0)
+                    samples[kind].append((_cpu(stage) - before) / (loop.time() - started_at) * 1000.0)
     finally:
         for stage in stages.values():
             await stage.close()
     for kind in stages:
         print(
-            f"{kind:3}: {statistics.median(used[kind]):6.1f} ms of CPU a second at {rate:.0f} queries a second, idle "
-            f"{statistics.median(idle_[kind]):5.1f} ({min(idle_[kind]):.1f} to {max(idle_[kind]):.1f}); {ends[kind]}"
+            f"{kind:3}: {statistics.median(loaded_cpu[kind]):6.1f} ms of CPU a second at {rate:.0f} queries a second, "
+            f"idle {statistics.median(idle_cpu[kind]):5.1f} ({min(idle_cpu[kind]):.1f} to "
+            f"{max(idle_cpu[kind]):.1f}); {outcomes[kind]}"
         )
-    parts = sorted(on / off for off, on in zip(used["off"], used["on"], strict=True))
-    print(f"ratio {statistics.median(parts):.3f}, {parts[0]:.3f} to {parts[-1]:.3f}, of {pairs} pairs")
+    ratios = sorted(on / off for off, on in zip(loaded_cpu["off"], loaded_cpu["on"], strict=True))
+    print(f"ratio {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}, of {pairs} pairs")
 
 
-def main(given: list[str]) -> None:
-    """See above."""
+def main(arguments: list[str]) -> None:
+    """Run a command of the module's docstring."""
     logging.basicConfig(level=logging.ERROR)
-    match given:
+    match arguments:
         case ["member", pools, fleet]:
             asyncio.run(_member(msgspec.json.decode(fleet, type=ClusterSettings), json.loads(pools)))
         case ["idle"]:
-            idle()
+            measure_idle()
         case ["idle", members, groups]:
-            idle(int(members), int(groups))
+            measure_idle(int(members), int(groups))
         case ["profile"]:
-            idle(profile=True)
+            measure_idle(profile=True)
         case ["promises", *rest]:
-            promises(float(rest[0]) if rest else 4.0)
+            measure_writes(float(rest[0]) if rest else 4.0)
         case ["groups", *rest]:
-            by_groups(float(rest[0]) if rest else 4.0)
+            measure_groups(float(rest[0]) if rest else 4.0)
         case ["messages"]:
-            messages()
+            measure_messages()
         case ["rules"]:
-            rules()
+            measure_invariants()
         case ["ratio", *rest]:
-            asyncio.run(ratio(float(rest[0]) if rest else 800.0, int(rest[1]) if rest[1:] else 12))
+            asyncio.run(measure_ratio(float(rest[0]) if rest else 800.0, int(rest[1]) if rest[1:] else 12))
         case _:
             print(__doc__)
 
--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -18,29 +18,30 @@
 from rich.table import Table
 
 from badgeryoke.testbed.report.cluster_figures import FleetFigures, worst_and_median
-from badgeryoke.testbed.report.result import Result, within_stated
+from badgeryoke.testbed.report.result import Result, within_error_bounds
 from badgeryoke.testbed.report.write import compare_folders, write_folder
 from badgeryoke.testbed.scenario.model import Scenario
 from badgeryoke.testbed.scenario.parser import load, shipped
 from badgeryoke.testbed.scenario.sexpr import TextError
 from badgeryoke.testbed.simulation.world import play
 
-BAD, UNUSABLE, FAILED = 1, 2, 4
-KEYS = ("beyond_share", "sent_of_allowed", "ceiling_excess", "detect_ms")
+# Exit codes.
+VIOLATION, UNUSABLE, FAILED = 1, 2, 4
+SUMMARY_FIGURES = ("beyond_share", "sent_of_allowed", "ceiling_excess", "detect_ms")
 
 
 def _load(name: str) -> tuple[Scenario, str]:
-    """A scenario, or the end of the command with its fault."""
+    """Load a scenario and its text; exits with an error message if that fails."""
     try:
         return load(name)
-    except TextError as fault:
-        click.echo(f"{name}: {fault}", err=True)
+    except TextError as error:
+        click.echo(f"{name}: {error}", err=True)
     except OSError:
         click.echo(f"{name}: no such scenario or file; see `badgeryoke lab list`", err=True)
     sys.exit(UNUSABLE)
 
 
-def _json(value: object) -> None:
+def _print_json(value: object) -> None:
     click.echo(json.dumps(value, sort_keys=True))
 
 
@@ -67,7 +68,7 @@
     """
     found = [(name, load(name)[0].about) for name in shipped()]
     if as_json:
-        _json([{"name": name, "about": about} for name, about in found])
+        _print_json([{"name": name, "about": about} for name, about in found])
         return
     table = Table(box=None)
     table.add_column("scenario", no_wrap=True)
@@ -97,33 +98,33 @@
     from badgeryoke.testbed.emulator.run import Stage
 
     text, source = _load(scenario)
-    if why_not := unplayable(text):
-        click.echo(f"{scenario}: {why_not}", err=True)
+    if problem := unplayable(text):
+        click.echo(f"{scenario}: {problem}", err=True)
         sys.exit(UNUSABLE)
     if watch is not None:
         text = replace(text, watch=watch)
     with Progress(console=Console(stderr=True), transient=True, disable=as_json) as progress:
         task = progress.add_task(text.name, total=text.length_ms)
 
-        def show(event: dict[str, Any]) -> None:
+        def on_event(event: dict[str, Any]) -> None:
             progress.update(task, completed=event["at_ms"])
 
-        stage = Stage(text, seed, to / "gateways" if to else None, show)
+        stage = Stage(text, seed, to / "gateways" if to else None, on_event)
         try:
             result = asyncio.run(stage.play())
-        except (RuntimeError, OSError) as fault:
-            click.echo(f"{scenario}: {fault}", err=True)
+        except (RuntimeError, OSError) as error:
+            click.echo(f"{scenario}: {error}", err=True)
             sys.exit(FAILED)
     fleet = stage.fleet_figures()
     figures = {**result.figures(), **stage.extra_figures(), **fleet.to_dict(), "kind": "sockets"}
     if to is not None:
         write_folder(to, text, source, [result], figures, stage.events)
-    _show(figures, within_stated(result) and not fleet.violations(), as_json, to)
+    _print_figures(figures, within_error_bounds(result) and not fleet.violations(), as_json, to)
 
 
-def _show(figures: dict[str, Any], good: bool, as_json: bool, to: Path | None) -> None:
+def _print_figures(figures: dict[str, Any], passed: bool, as_json: bool, to: Path | None) -> None:
     if as_json:
-        _json(figures)
+        _print_json(figures)
     else:
         table = Table(box=None, show_header=False)
         for key in (
@@ -144,11 +145,11 @@
         Console().print(table)
         if to is not None:
             click.echo(f"report: {to / 'report.html'}")
-    sys.exit(0 if good else BAD)
+    sys.exit(0 if passed else VIOLATION)
 
 
-def _one(job: tuple[Scenario, int]) -> tuple[Result, FleetFigures]:
-    """One seed, of the decisions on requests and of what gateways share."""
+def _run_seed(job: tuple[Scenario, int]) -> tuple[Result, FleetFigures]:
+    """Run one seed: the decisions on requests and, for a cluster, the simulation of its members."""
     text, seed = job
     if not text.fleet:
         return play(text, seed), FleetFigures()
@@ -195,7 +196,7 @@
         Progress(console=Console(stderr=True), transient=True, disable=as_json) as progress,
     ):
         task = progress.add_task(text.name, total=seeds)
-        for result, fleet in pool.imap(_one, [(text, seed) for seed in range(1, seeds + 1)]):
+        for result, fleet in pool.imap(_run_seed, [(text, seed) for seed in range(1, seeds + 1)]):
             results.append(result)
             fleets.append(fleet)
             progress.advance(task)
@@ -213,13 +214,13 @@
         ]
         write_folder(to, text, source, results, figures, events)
     if as_json:
-        _json(figures)
+        _print_json(figures)
     else:
         table = Table(box=None)
         for column in ("", "worst", "median", "best"):
             table.add_column(column)
         for key, row in figures["spread"].items():
-            if key in KEYS or figures[key] is not None:
+            if key in SUMMARY_FIGURES or figures[key] is not None:
                 table.add_row(key, *(str(row.get(part, "")) for part in ("worst", "median", "best")))
         Console().print(table)
         click.echo(
@@ -227,13 +228,17 @@
             f"ceilings broken {figures['ceiling_broken']}, "
             f"false alarms {figures['false_alarms']}, seeds {seeds}"
         )
-    sys.exit(0 if all(map(within_stated, results)) and not any(one.violations() for one in fleets) else BAD)
+    sys.exit(
+        0
+        if all(map(within_error_bounds, results)) and not any(one.violations() for one in fleets)
+        else VIOLATION
+    )
 
 
 def resize(text: Scenario, gateways: int) -> Scenario:
-    """The scenario with another number of gateways: a split keeps the first alone, or the first third."""
-    cut = max(gateways // 3, 1)
-    groups = (tuple(range(1, cut + 1)), tuple(range(cut + 1, gateways + 1)))
+    """The scenario with another number of gateways; a split separates the first third, at least one gateway."""
+    first_size = max(gateways // 3, 1)
+    groups = (tuple(range(1, first_size + 1)), tuple(range(first_size + 1, gateways + 1)))
     faults = tuple(replace(fault, groups=groups) if fault.word == "split" else fault for fault in text.faults)
     return replace(text, gateways=gateways, started=gateways, faults=faults)
 
@@ -241,22 +246,22 @@
 def summary(
     text: Scenario, results: list[Result], fleets: list[FleetFigures] | None = None
 ) -> dict[str, Any]:
-    """Figures over all seeds: worst, median and best of each; the fleet's own keys hold the worst."""
+    """Summarise all seeds: worst, median and best of each figure; the cluster's own keys hold the worst."""
     rows = [result.figures() for result in results]
     parts: dict[str, dict[str, Any]] = {}
-    for key in KEYS:
-        known = sorted(row[key] for row in rows if row[key] is not None)
-        if not known:
+    for key in SUMMARY_FIGURES:
+        values = sorted(row[key] for row in rows if row[key] is not None)
+        if not values:
             parts[key] = {"worst": None, "median": None, "best": None}
             continue
-        low_is_bad = key == "sent_of_allowed"
+        lower_is_worse = key == "sent_of_allowed"
         parts[key] = {
-            "worst": known[0 if low_is_bad else -1],
-            "median": known[len(known) // 2],
-            "best": known[-1 if low_is_bad else 0],
+            "worst": values[0 if lower_is_worse else -1],
+            "median": values[len(values) // 2],
+            "best": values[-1 if lower_is_worse else 0],
         }
-    fleet = worst_and_median([one.to_dict() for one in fleets or [FleetFigures()]])
-    worst = {key: row.get("worst") for key, row in fleet.items()}
+    cluster_figures = worst_and_median([one.to_dict() for one in fleets or [FleetFigures()]])
+    worst = {key: row.get("worst") for key, row in cluster_figures.items()}
     if states := [one.roll_state for one in fleets or [] if one.roll_state is not None]:
         worst["roll_state"] = next((state for state in states if state != "done"), "done")
     return {
@@ -265,7 +270,7 @@
         "seeds": len(rows),
         "gateways": text.gateways,
         "watch": text.watch,
-        "spread": {**parts, **fleet},
+        "spread": {**parts, **cluster_figures},
         **worst,
         "stated_error": rows[0]["stated_error"],
         "ceiling_broken": sum(row["ceiling_broken"] for row in rows),
@@ -291,11 +296,11 @@
     """
     try:
         rows = compare_folders(first, second, to)
-    except (OSError, ValueError) as fault:
-        click.echo(f"compare: {fault}", err=True)
+    except (OSError, ValueError) as error:
+        click.echo(f"compare: {error}", err=True)
         sys.exit(UNUSABLE)
     if as_json:
-        _json(rows)
+        _print_json(rows)
         return
     table = Table(box=None)
     for column in ("figure", str(first), str(second)):
@@ -318,8 +323,8 @@
 
     try:
         click.echo(str(render_folder(folder)))
-    except (OSError, ValueError, KeyError) as fault:
-        click.echo(f"report: {folder}: not a result folder ({fault})", err=True)
+    except (OSError, ValueError, KeyError) as error:
+        click.echo(f"report: {folder}: not a result folder ({error})", err=True)
         sys.exit(UNUSABLE)
 
 
@@ -341,7 +346,7 @@
     with Live(console=console, refresh_per_second=4, screen=False) as live:
         if as_json:
             live.stop()
-        stage = Stage(text, 1, None, _painter(live, as_json))
+        stage = Stage(text, 1, None, _event_painter(live, as_json))
         if not as_json:
             console.print(
                 "badgeryoke demo: one real gateway on loopback, everything around it emulated. "
@@ -349,11 +354,11 @@
             )
         try:
             result = asyncio.run(_until_stopped(stage))
-        except RuntimeError as fault:
-            click.echo(f"demo: {fault}", err=True)
+        except RuntimeError as error:
+            click.echo(f"demo: {error}", err=True)
             sys.exit(FAILED)
     if as_json:
-        _json({**result.figures(), **stage.extra_figures()})
+        _print_json({**result.figures(), **stage.extra_figures()})
     else:
         console.print(
             f"{result.verdict.tries} tries: {stage.counts['served']} served, "
@@ -361,11 +366,11 @@
             f"{result.verdict.unanswered} without an answer, "
             f"{result.verdict.beyond_share:.1%} of the units beyond a quota."
         )
-    sys.exit(0 if within_stated(result) and not result.verdict.unanswered else BAD)
+    sys.exit(0 if within_error_bounds(result) and not result.verdict.unanswered else VIOLATION)
 
 
 async def _until_stopped(stage: Any) -> Result:
-    """Play until its length or Ctrl-C, which ends the load and lets what is open be answered."""
+    """Run to the scenario's end, or to Ctrl-C, which stops the load and waits for the open requests."""
     import signal
 
     loop = asyncio.get_running_loop()
@@ -378,8 +383,8 @@
     return result
 
 
-def _painter(live: Live, silent: bool) -> Callable[[dict[str, Any]], None]:
-    last: dict[str, int] = {}
+def _event_painter(live: Live, silent: bool) -> Callable[[dict[str, Any]], None]:
+    previous: dict[str, int] = {}
 
     def paint(event: dict[str, Any]) -> None:
         if event["event"] != "second" or silent:
@@ -389,10 +394,10 @@
         for column in ("", "in the last second", "in all"):
             table.add_column(column, justify="left" if not column else "right")
         for key, value in counts.items():
-            table.add_row(f"tries {key}", str(value - last.get(key, 0)), str(value))
+            table.add_row(f"tries {key}", str(value - previous.get(key, 0)), str(value))
         for key in ("asked", "sent", "beyond"):
             table.add_row(f"units {key}", f"{event[key]:.0f}", "")
-        last.update(counts)
+        previous.update(counts)
         live.update(table)
 
     return paint
--- a/badgeryoke/testbed/dispatcher_cost.py
+++ b/badgeryoke/testbed/dispatcher_cost.py
@@ -1,10 +1,10 @@
-"""CPU a query of the core, side by side in one run: the fleet's part off, on without a contract, with another
-tenant's contract, and with one that every query is drawn from.
+"""Measures the dispatcher's CPU time per request in four configurations: reservations off, on without a
+contract, with another tenant's contract, and with a contract that covers every request.
 
     python -m badgeryoke.testbed.dispatcher_cost [rounds]
 
-Each round plays a hundred queries in each of the four, in an order drawn anew; the ratio is the middle one of
-all rounds, since a busy machine slows whole rounds.
+Each round runs a hundred requests in each configuration, in random order.  The ratio is the median over all
+rounds, since a busy machine slows whole rounds.
 """
 
 from __future__ import annotations
@@ -31,23 +31,23 @@
 from badgeryoke.gateway.attempt import Attempt, Request
 from badgeryoke.gateway.dispatcher import Dispatcher
 
-QUERIES, ROUNDS = 100, 500
-KINDS = ("off", "no contract", "another's contract", "drawn")
+REQUESTS_PER_RUN, DEFAULT_ROUNDS = 100, 500
+CONFIGURATIONS = ("off", "no contract", "another's contract", "drawn")
 
 
-class Loop:
-    """Callbacks of now; timers, of which none comes due here, are forgotten."""
+class StubEventLoop:
+    """An event loop that runs queued callbacks and drops timers, none of which comes due here."""
 
     def __init__(self) -> None:
-        self.now, self._soon = 0.0, list[tuple[Callable[..., object], tuple[Any, ...]]]()
+        self.now, self._ready = 0.0, list[tuple[Callable[..., object], tuple[Any, ...]]]()
 
     def time(self) -> float:
-        """The virtual time in s."""
+        """The simulated time in s."""
         return self.now
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Any:
         """Queue a callback for the next `run`."""
-        self._soon.append((callback, args))
+        self._ready.append((callback, args))
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Any:
         """Accept a timer that never fires; its handle is this loop."""
@@ -59,43 +59,48 @@
     def run(self) -> None:
         """Advance 1 ms and call the queued callbacks."""
         self.now += 0.001
-        soon, self._soon = self._soon, []
-        for callback, args in soon:
+        ready, self._ready = self._ready, []
+        for callback, args in ready:
             callback(*args)
 
 
-class World:
-    """One core and a server that answers at once."""
+class DispatcherHarness:
+    """A dispatcher and a server that responds at once."""
 
-    def __init__(self, kind: str) -> None:
-        self.loop, self._out, self._answers, self._asked = Loop(), list[Attempt](), 0, 0
-        cls = api.RequestClass("read", 400.0, 2000.0, api.Idempotency.IDEMPOTENT)
+    def __init__(self, configuration: str) -> None:
+        self.loop, self._attempts, self._response_count, self._request_count = (
+            StubEventLoop(),
+            list[Attempt](),
+            0,
+            0,
+        )
+        request_class = api.RequestClass("read", 400.0, 2000.0, api.Idempotency.IDEMPOTENT)
         settings = api.Settings(
-            0, 1, "a", 2.0, (cls,), (api.Plan("plan", 1e6, 1e6),), can_cancel=True, max_attempts=3
+            0, 1, "a", 2.0, (request_class,), (api.Plan("plan", 1e6, 1e6),), can_cancel=True, max_attempts=3
         )
-        self.core = Dispatcher(
+        self.dispatcher = Dispatcher(
             settings,
             1,
             ActorScheduler(self.loop),
             lambda: self.loop.now * 1000.0,
             lambda _: self,
             self,
-            with_reservations=kind != "off",
+            with_reservations=configuration != "off",
         )
-        self.core.update_endpoints(
+        self.dispatcher.update_endpoints(
             api.EndpointList(
                 api.ListScope.FULL,
                 tuple(api.Server(number, "a", "std", 0, api.EndpointState.UP) for number in range(1, 9)),
             )
         )
-        if kind != "off":
-            floor = ReservationClient("a", "p", Timings())
-            if kind != "no contract":
-                self._stake(floor, 5 if kind == "drawn" else 6)
-            self.core.enable_reservations(floor, lambda: self.loop.now * 1000.0)
+        if configuration != "off":
+            client = ReservationClient("a", "p", Timings())
+            if configuration != "no contract":
+                self._grant_lease(client, 5 if configuration == "drawn" else 6)
+            self.dispatcher.enable_reservations(client, lambda: self.loop.now * 1000.0)
 
     @staticmethod
-    def _stake(floor: ReservationClient, customer: int) -> None:
+    def _grant_lease(client: ReservationClient, customer: int) -> None:
         version = VersionFacts(
             customers=(customer,),
             rate=1e6,
@@ -105,52 +110,59 @@
         )
         facts = ContractFacts(contract="peak", tenant="t", rank=1, zone="", versions=(version,))
         answer = ApplyResult(msgspec.to_builtins(ContractsAnswer(revision=1, contracts=(facts,))))
-        floor.answered(0.0, PollContracts(id="contracts"), answer)
-        one: ContractLease = floor.leases["peak"]
-        one.share = one.depth = one.level = one.fair_share = one.wanted_rate = 1e9
-        one.expires_ms = one.share_change_ms = math.inf
+        client.answered(0.0, PollContracts(id="contracts"), answer)
+        lease: ContractLease = client.leases["peak"]
+        lease.share = lease.depth = lease.level = lease.fair_share = lease.wanted_rate = 1e9
+        lease.expires_ms = lease.share_change_ms = math.inf
 
     def add(self, *_: object) -> None:
         """Fail: the measured dispatcher has no quota counter."""
-        raise AssertionError("no counter here")
-
-    def start(self, execution: Attempt) -> None:
-        """Queue an attempt for the response of the next step."""
-        self._out.append(execution)
-
-    def _answered(self, answer: object) -> None:
-        self._answers += 1
-
-    def play(self) -> float:
-        """CPU seconds of so many queries."""
-        begun = time.process_time()
-        for _ in range(QUERIES):
-            self._asked += 1
-            self.core.submit(Request(str(self._asked), "read", "plan", 5, 2000.0, 1.0, 1), self._answered)
+        raise AssertionError("no counter is configured")
+
+    def start(self, attempt: Attempt) -> None:
+        """Queue an attempt; it gets its response in the next step."""
+        self._attempts.append(attempt)
+
+    def _response_received(self, answer: object) -> None:
+        self._response_count += 1
+
+    def run(self) -> float:
+        """Run the requests of a round and return the CPU seconds used."""
+        started_s = time.process_time()
+        for _ in range(REQUESTS_PER_RUN):
+            self._request_count += 1
+            self.dispatcher.submit(
+                Request(str(self._request_count), "read", "plan", 5, 2000.0, 1.0, 1), self._response_received
+            )
             self.loop.run()
-            for execution in self._out:
-                execution.written()
-                execution.succeeded(b"1")
-            self._out.clear()
+            for attempt in self._attempts:
+                attempt.written()
+                attempt.succeeded(b"1")
+            self._attempts.clear()
             self.loop.run()
-        took = time.process_time() - begun
-        assert self._answers == self._asked
-        return took
+        cpu_s = time.process_time() - started_s
+        assert self._response_count == self._request_count
+        return cpu_s
 
 
 def main(rounds: int) -> None:
-    """Play, and say what came of it."""
-    worlds = {kind: World(kind) for kind in KINDS}
-    took: dict[str, list[float]] = {kind: [] for kind in KINDS}
-    order, draw = list(KINDS), random.Random(1)
+    """Run all configurations and print their CPU times."""
+    harnesses = {configuration: DispatcherHarness(configuration) for configuration in CONFIGURATIONS}
+    cpu_s: dict[str, list[float]] = {configuration: [] for configuration in CONFIGURATIONS}
+    order, rng = list(CONFIGURATIONS), random.Random(1)
     for _ in range(rounds):
-        draw.shuffle(order)
-        for kind in order:
-            took[kind].append(worlds[kind].play())
-    for kind in KINDS:
-        ratio = statistics.median(one / off for one, off in zip(took[kind], took["off"], strict=True))
-        print(f"{kind:20} {min(took[kind]) / QUERIES * 1e6:6.1f} us a query at the least, ratio {ratio:.3f}")
+        rng.shuffle(order)
+        for configuration in order:
+            cpu_s[configuration].append(harnesses[configuration].run())
+    for configuration in CONFIGURATIONS:
+        ratio = statistics.median(
+            measured / off for measured, off in zip(cpu_s[configuration], cpu_s["off"], strict=True)
+        )
+        print(
+            f"{configuration:20} {min(cpu_s[configuration]) / REQUESTS_PER_RUN * 1e6:6.1f} us a query at the least, "
+            f"ratio {ratio:.3f}"
+        )
 
 
 if __name__ == "__main__":
-    main(int(sys.argv[1]) if len(sys.argv) > 1 else ROUNDS)
+    main(int(sys.argv[1]) if len(sys.argv) > 1 else DEFAULT_ROUNDS)
