--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -1,5 +1,5 @@
-"""The laboratory's fleet: its words, its links, the book of promises, and real processes with faults
-between them."""
+"""The emulated cluster: its scenario sections, faulty links, the record of writes, and faults between gateway
+processes."""
 
 from __future__ import annotations
 
@@ -23,23 +23,29 @@
 LOAD = "(plan p (rate 5/s) (burst 10u)) (customers 4 (plan p))"
 
 
-# The language -------------------------------------------------------------------------------------------
+# Parsing ------------------------------------------------------------------------------------------------
 
 
-def test_a_fleets_text_says_all_that_it_can_say() -> None:
-    made = parse(f"""(scenario a {FLEET} (servers 8 (work 30ms..90ms) (connections 24)) {LOAD} (proposals 40/s)
+def test_all_cluster_sections_are_parsed() -> None:
+    scenario = parse(f"""(scenario a {FLEET} (servers 8 (work 30ms..90ms) (connections 24)) {LOAD} (proposals 40/s)
         (contract peak (customers 1..3) (rate 60/s) (burst 30u) (from 5s) (to 30s) (importance 2))
         (roll nightly (from 10s) (gateways 1 2 5) (at-once 2))
         (at 1s (cut gateways (1 2) (3 4 5)) (cut gateways (1) (2 3) one-way) (delay gateways (1) (2) 400ms))
         (at 2s (reset gateways (1) (2) 2/s) (narrow gateways (1) (2) 8000/s) (mend gateways))
         (at 3s (lose gateway 2 when-whole) (start gateway 2) (freeze gateway 3) (thaw gateway 3))
         (at 4s (spoil gateway 4) (step gateway 5 -30s) (fill gateway 1) (empty gateway 1)))""")
-    assert (made.fleet, made.copies, made.halls, made.connections, made.proposals) == (True, 3, 2, 24, 40.0)
-    contract, roll = made.contracts[0], made.rolls[0]
+    assert (scenario.fleet, scenario.copies, scenario.halls, scenario.connections, scenario.proposals) == (
+        True,
+        3,
+        2,
+        24,
+        40.0,
+    )
+    contract, roll = scenario.contracts[0], scenario.rolls[0]
     assert (contract.customers, contract.rate, contract.burst, contract.importance) == ((1, 3), 60.0, 30.0, 2)
     assert (contract.from_ms, contract.to_ms) == (5000.0, 30_000.0)
     assert (roll.name, roll.from_ms, roll.gateways, roll.at_once) == ("nightly", 10_000.0, (1, 2, 5), 2)
-    assert [(one.word, one.groups, one.amount, one.mode) for one in made.faults] == [
+    assert [(fault.word, fault.groups, fault.amount, fault.mode) for fault in scenario.faults] == [
         ("cut", ((1, 2), (3, 4, 5)), 0.0, ""),
         ("cut", ((1,), (2, 3)), 0.0, "one-way"),
         ("delay", ((1,), (2,)), 400.0, ""),
@@ -58,7 +64,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rest", "at", "words"),
+    ("sections", "error_at", "words"),
     [
         ("(gateways 5) (proposals 40/s)", "(proposals", ("proposals", "(fleet on)")),
         (f"(gateways 5 (copies 3)) {LOAD}", "(copies", ("copies", "(fleet on)")),
@@ -117,137 +123,170 @@
         ),
     ],
 )
-def test_a_wrong_word_of_a_fleet_is_told_by_column(rest: str, at: str, words: tuple[str, ...]) -> None:
+def test_an_invalid_cluster_section_is_reported_with_its_column(
+    sections: str, error_at: str, words: tuple[str, ...]
+) -> None:
     with pytest.raises(TextError) as caught:
-        parse(text := f"(scenario a {rest})")
-    assert (caught.value.line, caught.value.column) == (1, text.index(at) + 1), str(caught.value)
+        parse(text := f"(scenario a {sections})")
+    assert (caught.value.line, caught.value.column) == (1, text.index(error_at) + 1), str(caught.value)
     assert all(word in str(caught.value) for word in words)
 
 
-# The links ----------------------------------------------------------------------------------------------
+# Links --------------------------------------------------------------------------------------------------
 
 
 @asynccontextmanager
-async def linked() -> AsyncIterator[
+async def connected_gateways() -> AsyncIterator[
     tuple[Links, asyncio.StreamReader, asyncio.StreamWriter, asyncio.StreamReader, asyncio.StreamWriter]
 ]:
-    """Gateway 0 has called gateway 1: both ends."""
-    called: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
+    """A connection from gateway 0 to gateway 1: the links and the streams of both ends."""
+    accepted: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
     server = await asyncio.start_server(
-        lambda reader, writer: called.put_nowait((reader, writer)), "127.0.0.1", 0
+        lambda reader, writer: accepted.put_nowait((reader, writer)), "127.0.0.1", 0
     )
     links = Links(2, random.Random(1))
     links.targets = {1: server.sockets[0].getsockname(), 0: ("127.0.0.1", 1)}
     await links.listen()
-    near = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
-    near[1].write(b"hello")
-    far = await called.get()
-    assert await far[0].readexactly(5) == b"hello"
+    client = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
+    client[1].write(b"hello")
+    server_side = await accepted.get()
+    assert await server_side[0].readexactly(5) == b"hello"
     try:
-        yield links, *near, *far
+        yield links, *client, *server_side
     finally:
-        for writer in (near[1], far[1]):
+        for writer in (client[1], server_side[1]):
             writer.transport.abort()
         links.close()
         server.close()
 
 
-def play(test: Callable[[], Awaitable[None]], within_s: float = 30.0) -> None:
+def run_with_timeout(test: Callable[[], Awaitable[None]], timeout_s: float = 30.0) -> None:
     async def bounded() -> None:
-        await asyncio.wait_for(test(), within_s)
+        await asyncio.wait_for(test(), timeout_s)
 
     asyncio.run(bounded())
 
 
-def fault(word: str, amount: float = 0.0, mode: str = "") -> Fault:
+def link_fault(word: str, amount: float = 0.0, mode: str = "") -> Fault:
     return Fault(0.0, word, "gateways", ((1,), (2,)), amount, mode)
 
 
-def test_a_one_way_cut_swallows_one_way_and_breaks_off_when_mended() -> None:
+def test_a_one_way_cut_drops_one_direction_and_disconnects_when_mended() -> None:
     async def test() -> None:
-        async with linked() as (links, near, say, far, back):
-            links.happen(fault("cut", mode="one-way"))
-            say.write(b"lost")
-            back.write(b"heard")
-            assert await near.readexactly(5) == b"heard"
+        async with connected_gateways() as (
+            links,
+            client_reader,
+            client_writer,
+            server_reader,
+            server_writer,
+        ):
+            links.happen(link_fault("cut", mode="one-way"))
+            client_writer.write(b"lost")
+            server_writer.write(b"heard")
+            assert await client_reader.readexactly(5) == b"heard"
             while links.ways[0, 1].lost < 4:
                 await asyncio.sleep(0.001)
             links.mend()
-            assert await far.read() == b"" and await near.read() == b""  # behind the gap nothing is said
+            # nothing is forwarded after the lost bytes
+            assert await server_reader.read() == b"" and await client_reader.read() == b""
 
-    play(test)
+    run_with_timeout(test)
 
 
-def test_a_cut_keeps_new_connections_and_the_end_of_old_ones_away() -> None:
+def test_a_cut_blocks_new_connections_and_hides_the_close_of_open_ones() -> None:
     async def test() -> None:
-        async with linked() as (links, _near, say, far, back):
-            links.happen(fault("cut"))
-            say.write_eof()
+        async with connected_gateways() as (
+            links,
+            _client_reader,
+            client_writer,
+            server_reader,
+            server_writer,
+        ):
+            links.happen(link_fault("cut"))
+            client_writer.write_eof()
             _, again = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
             again.write(b"anyone?")
             while links.ways[0, 1].lost < 7:
                 await asyncio.sleep(0.001)
-            assert len(links.open) == 2 and not far.at_eof() and not back.is_closing()
+            assert len(links.open) == 2 and not server_reader.at_eof() and not server_writer.is_closing()
             links.mend()
-            assert await far.read() == b"" and not links.open
+            assert await server_reader.read() == b"" and not links.open
             again.transport.abort()
 
-    play(test)
+    run_with_timeout(test)
 
 
-def test_a_delay_keeps_the_order_and_a_reset_breaks_off() -> None:
+def test_a_delay_keeps_the_order_and_a_reset_disconnects() -> None:
     async def test() -> None:
-        async with linked() as (links, near, say, far, _back):
+        async with connected_gateways() as (
+            links,
+            client_reader,
+            client_writer,
+            server_reader,
+            _server_writer,
+        ):
             loop = asyncio.get_running_loop()
-            links.happen(fault("delay", 60.0))
-            begun = loop.time()
-            say.write(b"first")
-            await say.drain()
-            say.write(b"second")
-            assert await far.readexactly(11) == b"firstsecond"
-            assert loop.time() - begun >= 0.059
-            links.happen(fault("reset", 50.0))
+            links.happen(link_fault("delay", 60.0))
+            started_s = loop.time()
+            client_writer.write(b"first")
+            await client_writer.drain()
+            client_writer.write(b"second")
+            assert await server_reader.readexactly(11) == b"firstsecond"
+            assert loop.time() - started_s >= 0.059
+            links.happen(link_fault("reset", 50.0))
             with pytest.raises(ConnectionResetError):
-                await near.read()
+                await client_reader.read()
 
-    play(test)
+    run_with_timeout(test)
 
 
-def test_a_narrow_way_takes_its_time_and_holds_no_more_than_its_bound() -> None:
+def test_a_narrow_link_limits_the_throughput() -> None:
     async def test() -> None:
-        async with linked() as (links, _near, say, far, _back):
-            links.happen(fault("narrow", 2000.0))  # 2 MB a second
-            say.write(b"x" * 300_000)
-            begun = asyncio.get_running_loop().time()
-            assert len(await far.readexactly(300_000)) == 300_000
-            assert asyncio.get_running_loop().time() - begun >= 0.14
-
-    play(test)
-
-
-def test_whoever_closes_is_heard() -> None:
+        async with connected_gateways() as (
+            links,
+            _client_reader,
+            client_writer,
+            server_reader,
+            _server_writer,
+        ):
+            links.happen(link_fault("narrow", 2000.0))  # 2 MB a second
+            client_writer.write(b"x" * 300_000)
+            started_s = asyncio.get_running_loop().time()
+            assert len(await server_reader.readexactly(300_000)) == 300_000
+            assert asyncio.get_running_loop().time() - started_s >= 0.14
+
+    run_with_timeout(test)
+
+
+def test_a_close_reaches_the_other_end() -> None:
     async def test() -> None:
-        async with linked() as (links, near, say, far, back):
-            say.write(b"bye")
-            say.close()
-            assert await far.read() == b"bye"
-            back.close()
-            await near.read()
+        async with connected_gateways() as (
+            links,
+            client_reader,
+            client_writer,
+            server_reader,
+            server_writer,
+        ):
+            client_writer.write(b"bye")
+            client_writer.close()
+            assert await server_reader.read() == b"bye"
+            server_writer.close()
+            await client_reader.read()
             while links.open:
                 await asyncio.sleep(0.001)
 
-    play(test)
+    run_with_timeout(test)
 
 
-# The book -----------------------------------------------------------------------------------------------
+# Writes -------------------------------------------------------------------------------------------------
 
 
-def test_the_book_counts_what_was_acknowledged_lost_and_done_twice() -> None:
+def test_acknowledged_lost_and_duplicated_writes_are_counted() -> None:
     book = Book()
     for name in ("a", "b", "c", "d"):
         book.began(0.0, name)
     book.ended(10.0, "a", "1", (None, ""))
-    book.ended(30.0, "b", "2", ("2", ""))  # its own value was there before it
+    book.ended(30.0, "b", "2", ("2", ""))  # the replaced value is its own: the write was applied twice
     book.ended(40.0, "c", "3", (None, UNKNOWN))
     book.ended(50.0, "d", "4", (None, "no-room"))
     book.began(100.0, "e")
@@ -263,7 +302,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "answer"),
+    ("received", "answer"),
     [
         (b'+OK {"a": 1}\n', ({"a": 1}, "")),
         (b"+OK\n", (None, "")),
@@ -272,22 +311,22 @@
         (b"-ERR unknown call; known are STATUS\n", (None, "unknown call; known are STATUS")),
     ],
 )
-def test_an_answer_is_read(said: bytes, answer: object) -> None:
-    assert read_answer(said) == answer and NOBODY != UNKNOWN
+def test_responses_of_the_management_socket_are_parsed(received: bytes, answer: object) -> None:
+    assert read_answer(received) == answer and NOBODY != UNKNOWN
 
 
-def test_what_needs_privileges_is_said_with_its_line() -> None:
+def test_a_fault_that_needs_privileges_is_reported_with_its_line() -> None:
     assert unplayable(load("fleet-step")[0]).startswith("line 6: step") and not unplayable(
         load("fleet-calm")[0]
     )
 
 
-def test_what_is_due_under_a_contract_and_what_of_it_was_short() -> None:
+def test_contract_floor_and_shortfall_error_are_computed() -> None:
     text = parse(
         f"""(scenario a {FLEET} {LOAD} (contract c (customers 1) (rate 4/s) (burst 4u) (from 1s) (to 3s)))"""
     )
     fleet = FleetStage(
-        text, random.Random(1), lambda: 0.0, lambda *said, **more: None, [("127.0.0.1", 1)] * 5, []
+        text, random.Random(1), lambda: 0.0, lambda *args, **fields: None, [("127.0.0.1", 1)] * 5, []
     )
     fleet._contract_of = {7: text.contracts[0]}
     now = 0.0
@@ -301,25 +340,25 @@
         (2001.0, "served"),
     ):
         fleet.asked(7, now, 2.0, 0)(kind)
-    assert fleet.floor() is None and fleet.shortfall_error() is None  # it was not admitted
+    assert fleet.floor() is None and fleet.shortfall_error() is None  # the contract is not admitted
     fleet.contracts["c"] = {"admitted": True}
     assert fleet.floor() == 0.5
     fleet._told_short = {"c": 3.0}
     assert fleet.shortfall_error() == pytest.approx(
         1.0 / 2.008, rel=0.01
-    )  # two units were short, of 12 asked
+    )  # 2 of the 12 requested units were short
     for other in range(1, 5):
         fleet.links.ways[0, other].cut = True
-    fleet.asked(7, 2500.0, 4.0, 0)("refused")  # where it cannot be served: short, and no less of a floor
+    fleet.asked(7, 2500.0, 4.0, 0)("refused")  # at a partitioned gateway: counts as short, not for the floor
     assert fleet.floor() == 0.5 and fleet._books["c"].units_short() > 3.9
 
 
-# Real processes -----------------------------------------------------------------------------------------
+# Gateway processes --------------------------------------------------------------------------------------
 
 
 @asynccontextmanager
-async def staged(gateways: int, folder: Path) -> AsyncIterator[tuple[Stage, FleetStage]]:
-    """So many real gateways, founded, with promises being made; at the end none is lost."""
+async def running_cluster(gateways: int, folder: Path) -> AsyncIterator[tuple[Stage, FleetStage]]:
+    """Run a bootstrapped cluster of gateway processes under key-value writes; none may be lost at the end."""
     stage = Stage(
         parse(f"(scenario short (gateways {gateways} (fleet on)) (servers 1) (proposals 30/s))"), 1, folder
     )
@@ -330,66 +369,71 @@
         fleet.begin({})
         yield stage, fleet
         await fleet.finish()
-        made = fleet.figures([])
-        assert (made.promises_lost, made.promises_twice, made.leaders_in_a_term, made.invariants_broken) == (
+        figures = fleet.figures([])
+        assert (
+            figures.promises_lost,
+            figures.promises_twice,
+            figures.leaders_in_a_term,
+            figures.invariants_broken,
+        ) == (
             0,
             0,
             1,
             0,
         )
-        assert made.promises_acknowledged == len(fleet.book.acknowledged) > 0
+        assert figures.promises_acknowledged == len(fleet.book.acknowledged) > 0
     finally:
         await stage.close()
 
 
-async def promised(fleet: FleetStage, more: int = 15) -> None:
-    """Wait until so many further promises are acknowledged."""
-    least = len(fleet.book.acknowledged) + more
-    assert await fleet.until(lambda: len(fleet.book.acknowledged) >= least, 30.0), fleet.book.figures()
+async def await_writes(fleet: FleetStage, count: int = 15) -> None:
+    """Wait until `count` further writes are acknowledged."""
+    target = len(fleet.book.acknowledged) + count
+    assert await fleet.until(lambda: len(fleet.book.acknowledged) >= target, 30.0), fleet.book.figures()
 
 
-def test_a_machine_lost_with_its_disk_loses_nothing_and_comes_back_as_a_newcomer(tmp_path: Path) -> None:
+def test_a_lost_machine_loses_no_write_and_returns_with_a_new_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
-        async with staged(3, tmp_path) as (stage, fleet):
-            await promised(fleet)
+        async with running_cluster(3, tmp_path) as (stage, fleet):
+            await await_writes(fleet)
             before = {status["me"] for status in fleet.seen.values()}
             lost = fleet.seen[0]["me"]
             await stage.happen(Fault(0.0, "lose", "gateway", ((1,),)))
-            await promised(fleet)  # two of three go on
+            await await_writes(fleet)  # two of three members are a majority
             await stage.happen(Fault(0.0, "start", "gateway", ((1,),)))
             assert await fleet.until(fleet.whole, 30.0)
             after = {status["me"] for status in fleet.seen.values()}
             assert before - after == {lost} and len(after) == 3  # under a new incarnation
-            await promised(fleet)
+            await await_writes(fleet)
 
-    play(test, 90.0)
+    run_with_timeout(test, 90.0)
 
 
-def test_five_gateways_go_on_through_a_cut_and_a_frozen_one(tmp_path: Path) -> None:
+def test_five_gateways_stay_available_during_a_cut_and_a_freeze(tmp_path: Path) -> None:
     async def test() -> None:
-        async with staged(5, tmp_path) as (stage, fleet):
-            await promised(fleet)
+        async with running_cluster(5, tmp_path) as (stage, fleet):
+            await await_writes(fleet)
             await stage.happen(Fault(0.0, "cut", "gateways", ((1, 2), (3, 4, 5))))
-            await promised(fleet, 30)
+            await await_writes(fleet, 30)
             await stage.happen(Fault(0.0, "mend", "gateways"))
             await stage.happen(Fault(0.0, "freeze", "gateway", ((4,),)))
-            await promised(fleet, 30)
+            await await_writes(fleet, 30)
             await stage.happen(Fault(0.0, "thaw", "gateway", ((4,),)))
             assert await fleet.until(fleet.whole, 30.0)
             assert set(fleet.seen) == set(range(5))
 
-    play(test, 90.0)
+    run_with_timeout(test, 90.0)
 
 
-def test_three_gateways_roll_without_losing_a_query_or_passing_a_servers_limit(tmp_path: Path) -> None:
+def test_a_rolling_restart_loses_no_request_and_keeps_connection_limits(tmp_path: Path) -> None:
     async def test() -> None:
         text = parse("""(scenario rolls (length 1s) (gateways 3 (fleet on)) (servers 2 (work 5ms..15ms) (connections 4))
             (plan p (rate 20/s) (burst 40u)) (customers 3 (plan p) (spread 3) (demand 0.5x)) (proposals 10/s)
             (roll all (from 0s)))""")
         stage = Stage(text, 1, tmp_path)
-        await stage.play()  # clients ask until the roll is over
-        made = stage.fleet_figures()
-        assert (made.roll_state, made.roll_lost, made.connections_over, made.violations()) == (
+        await stage.play()  # clients send requests until the rolling restart is complete
+        figures = stage.fleet_figures()
+        assert (figures.roll_state, figures.roll_lost, figures.connections_over, figures.violations()) == (
             "done",
             0,
             0,
@@ -398,4 +442,4 @@
         assert stage.fleet is not None and stage.fleet.rolls[0]["restarts"] == 3
         assert stage.counts["served"] > 0 and max(one.most_open for one in stage._servers) > 0
 
-    play(test, 110.0)
+    run_with_timeout(test, 110.0)
