--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -42,24 +42,26 @@
 def read_known_red(path: Path) -> dict[str, KnownRed]:
     """Read the entries by test, none if there is no file; raise UsageError for an invalid line."""
     lines = path.read_text(encoding="utf-8").splitlines() if path.exists() else []
-    found = dict[str, KnownRed]()
+    entries = dict[str, KnownRed]()
     for number, line in enumerate(lines, 1):
         fields = [field.strip() for field in line.split(" | ")]
         if len(fields) != len(KnownRed._fields) or not all(fields):
             raise pytest.UsageError(f"{FILE_NAME}:{number}: expected TEST | CAUSE | ISSUE")
-        if fields[0] in found:
+        if fields[0] in entries:
             raise pytest.UsageError(f"{FILE_NAME}:{number}: {fields[0]} is listed already")
-        found[fields[0]] = KnownRed(*fields)
-    if len(found) > MAX_ENTRIES:
-        raise pytest.UsageError(f"{FILE_NAME}: {len(found)} tests, {MAX_ENTRIES} at the most: mend one first")
-    return found
+        entries[fields[0]] = KnownRed(*fields)
+    if len(entries) > MAX_ENTRIES:
+        raise pytest.UsageError(
+            f"{FILE_NAME}: {len(entries)} tests, {MAX_ENTRIES} at the most: mend one first"
+        )
+    return entries
 
 
 def pytest_configure(config: pytest.Config) -> None:
     config.stash[KNOWN_RED] = read_known_red(config.rootpath / FILE_NAME)
 
 
-@pytest.hookimpl(tryfirst=True)  # before -k and the like take any away
+@pytest.hookimpl(tryfirst=True)  # before options such as -k deselect tests
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     for item in items:
         if marks := [mark.name for mark in item.iter_markers() if mark.name in FORBIDDEN_MARKS]:
@@ -68,12 +70,13 @@
             )
     tests = {item.nodeid for item in items}
     files = {test.partition("::")[0] for test in tests}
-    everything = config.args_source is not pytest.Config.ArgsSource.ARGS
+    runs_all = config.args_source is not pytest.Config.ArgsSource.ARGS
     single = any("::" in arg for arg in config.args)
     for test in config.stash[KNOWN_RED]:
         file = test.partition("::")[0]
-        looked = everything or (file in files and not single)  # else it may be there, and was not asked for
-        if not (config.rootpath / file).is_file() or (looked and test not in tests):
+        # Otherwise the test may exist without having been collected.
+        must_exist = runs_all or (file in files and not single)
+        if not (config.rootpath / file).is_file() or (must_exist and test not in tests):
             raise pytest.UsageError(f"{FILE_NAME}: there is no test {test}")
 
 
@@ -82,7 +85,8 @@
         raise pytest.UsageError(f"{report.nodeid}: skipped as a whole; no test may be")
 
 
-@pytest.hookimpl(wrapper=True, tryfirst=True)  # around pytest's own, which knows skips and expected failures
+# Runs around pytest's own hook, which sets the outcome of skips and expected failures.
+@pytest.hookimpl(wrapper=True, tryfirst=True)
 def pytest_runtest_makereport(item: pytest.Item) -> Generator[None, pytest.TestReport, pytest.TestReport]:
     report = yield
     red = item.config.stash[KNOWN_RED].get(item.nodeid)
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt and its hook, by runs of pytest on small folders."""
+"""The hooks for KNOWN-RED.txt, tested by pytest runs on small folders."""
 
 from __future__ import annotations
 
@@ -10,22 +10,25 @@
 
 pytest_plugins = ["pytester"]
 
-TWO = "def test_good(): pass\ndef test_bad(): assert False, 'planted'\n"
-BAD, GONE = "test_a.py::test_bad | it is planted | 7\n", "test_a.py::test_gone | it is planted | 7\n"
-FOUR = "".join(f"test_a.py::test_{at} | it is planted | 7\n" for at in range(4))
+GOOD_AND_BAD = "def test_good(): pass\ndef test_bad(): assert False, 'planted'\n"
+BAD_ENTRY, MISSING_ENTRY = (
+    "test_a.py::test_bad | it is planted | 7\n",
+    "test_a.py::test_gone | it is planted | 7\n",
+)
+FOUR_ENTRIES = "".join(f"test_a.py::test_{at} | it is planted | 7\n" for at in range(4))
 OK, FAILED, USAGE = pytest.ExitCode.OK, pytest.ExitCode.TESTS_FAILED, pytest.ExitCode.USAGE_ERROR
 
 
 @pytest.fixture(autouse=True)
-def plain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """No plugins beside pytest's own: each run would load them anew."""
+def no_plugins(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Load no plugins besides pytest's own, which each run would have to load again."""
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
 
 
-def play(
+def run_pytest(
     pytester: pytest.Pytester, listed: str | None, files: dict[str, str], *args: str
 ) -> pytest.RunResult:
-    """A run in a folder with these files and this list."""
+    """Run pytest in a folder with these test files and this KNOWN-RED.txt."""
     pytester.makeini("[pytest]")
     pytester.makeconftest(Path(conftest.__file__).read_text(encoding="utf-8"))
     pytester.makepyfile(**files)
@@ -35,24 +38,36 @@
 
 
 @pytest.mark.parametrize(
-    ("listed", "files", "args", "code", "said"),
+    ("listed", "files", "args", "code", "message"),
     [
-        # Only what is listed may fail, and it is printed.
-        (BAD, {"test_a": TWO}, (), OK, "known red: test_a.py::test_bad | it is planted | 7: failed"),
-        (BAD, {"test_a": TWO, "test_b": TWO}, (), FAILED, "FAILED test_b.py::test_bad*"),
+        # Only listed tests may fail, and they are printed.
+        (
+            BAD_ENTRY,
+            {"test_a": GOOD_AND_BAD},
+            (),
+            OK,
+            "known red: test_a.py::test_bad | it is planted | 7: failed",
+        ),
+        (
+            BAD_ENTRY,
+            {"test_a": GOOD_AND_BAD, "test_b": GOOD_AND_BAD},
+            (),
+            FAILED,
+            "FAILED test_b.py::test_bad*",
+        ),
         (None, {"test_a": "def test_good(): pass"}, (), OK, "known red: none"),
         ("", {"test_a": "def test_good(): pass"}, (), OK, "known red: none"),
-        (None, {"test_a": TWO}, (), FAILED, "FAILED test_a.py::test_bad*"),
-        # Its set-up and its end have to be good.
+        (None, {"test_a": GOOD_AND_BAD}, (), FAILED, "FAILED test_a.py::test_bad*"),
+        # Set-up and teardown of a listed test have to pass.
         (
-            BAD,
+            BAD_ENTRY,
             {"test_a": "import pytest\n@pytest.fixture\ndef no(): assert False\ndef test_bad(no): pass"},
             (),
             FAILED,
             "ERROR test_a.py::test_bad*",
         ),
         (
-            BAD,
+            BAD_ENTRY,
             {
                 "test_a": "import pytest\n@pytest.fixture\ndef no():\n    yield\n    assert False\n"
                 "def test_bad(no): assert False"
@@ -61,64 +76,88 @@
             FAILED,
             "ERROR test_a.py::test_bad*",
         ),
-        # What is listed and passes, or is not there, fails the run.
+        # A listed test that passes or does not exist fails the run.
         (
             "test_a.py::test_good | none | 7\n",
-            {"test_a": TWO},
+            {"test_a": GOOD_AND_BAD},
             ("-k", "good"),
             FAILED,
             "*it passes: take its line out*",
         ),
-        (GONE, {"test_a": TWO}, (), USAGE, "*there is no test test_a.py::test_gone*"),
-        (GONE, {"test_a": TWO}, ("test_a.py",), USAGE, "*there is no test test_a.py::test_gone*"),
-        (GONE, {"test_a": TWO}, ("-k", "good"), USAGE, "*there is no test test_a.py::test_gone*"),
+        (MISSING_ENTRY, {"test_a": GOOD_AND_BAD}, (), USAGE, "*there is no test test_a.py::test_gone*"),
+        (
+            MISSING_ENTRY,
+            {"test_a": GOOD_AND_BAD},
+            ("test_a.py",),
+            USAGE,
+            "*there is no test test_a.py::test_gone*",
+        ),
+        (
+            MISSING_ENTRY,
+            {"test_a": GOOD_AND_BAD},
+            ("-k", "good"),
+            USAGE,
+            "*there is no test test_a.py::test_gone*",
+        ),
         (
             "test_no.py::test_bad | none | 7\n",
-            {"test_a": TWO},
+            {"test_a": GOOD_AND_BAD},
             ("test_a.py::test_good",),
             USAGE,
             "*there is no test *",
         ),
-        # A run of some tests asks for the others neither.
-        (BAD, {"test_a": TWO}, ("test_a.py::test_good",), OK, "known red: test_a.py::test_bad *not run"),
+        # A run of selected tests does not require the other listed tests.
+        (
+            BAD_ENTRY,
+            {"test_a": GOOD_AND_BAD},
+            ("test_a.py::test_good",),
+            OK,
+            "known red: test_a.py::test_bad *not run",
+        ),
         (
-            BAD,
-            {"test_a": TWO, "test_b": "def test_good(): pass"},
+            BAD_ENTRY,
+            {"test_a": GOOD_AND_BAD, "test_b": "def test_good(): pass"},
             ("test_b.py",),
             OK,
             "known red: test_a.py::*not run",
         ),
-        (BAD, {"test_a": TWO}, ("-k", "good"), OK, "known red: test_a.py::test_bad *not run"),
-        # The list itself.
-        (FOUR, {"test_a": TWO}, (), USAGE, "*4 tests, 3 at the most*"),
-        (BAD + BAD, {"test_a": TWO}, (), USAGE, "*KNOWN-RED.txt:2: test_a.py::test_bad is listed already"),
+        (BAD_ENTRY, {"test_a": GOOD_AND_BAD}, ("-k", "good"), OK, "known red: test_a.py::test_bad *not run"),
+        # Invalid lists.
+        (FOUR_ENTRIES, {"test_a": GOOD_AND_BAD}, (), USAGE, "*4 tests, 3 at the most*"),
+        (
+            BAD_ENTRY + BAD_ENTRY,
+            {"test_a": GOOD_AND_BAD},
+            (),
+            USAGE,
+            "*KNOWN-RED.txt:2: test_a.py::test_bad is listed already",
+        ),
         (
             "test_a.py::test_bad | 7\n",
-            {"test_a": TWO},
+            {"test_a": GOOD_AND_BAD},
             (),
             USAGE,
             "*KNOWN-RED.txt:1: expected TEST | CAUSE | ISSUE",
         ),
         (
             "test_a.py::test_bad |  | 7\n",
-            {"test_a": TWO},
+            {"test_a": GOOD_AND_BAD},
             (),
             USAGE,
             "*KNOWN-RED.txt:1: expected TEST | CAUSE | ISSUE",
         ),
     ],
 )
-def test_only_what_is_listed_may_fail(
+def test_only_listed_tests_may_fail(
     pytester: pytest.Pytester,
     listed: str | None,
     files: dict[str, str],
     args: tuple[str, ...],
     code: int,
-    said: str,
+    message: str,
 ) -> None:
-    made = play(pytester, listed, files, *args)
-    assert made.ret == code
-    (made.stderr if code == USAGE else made.stdout).fnmatch_lines([said])
+    result = run_pytest(pytester, listed, files, *args)
+    assert result.ret == code
+    (result.stderr if code == USAGE else result.stdout).fnmatch_lines([message])
 
 
 @pytest.mark.parametrize(
@@ -151,5 +190,5 @@
 def test_no_skip_and_no_expected_failure_passes(
     pytester: pytest.Pytester, body: str, code: int, listed: str | None
 ) -> None:
-    made = play(pytester, listed, {"test_a": body})
-    assert made.ret != OK and (listed or made.ret == code)
+    result = run_pytest(pytester, listed, {"test_a": body})
+    assert result.ret != OK and (listed or result.ret == code)
--- a/tests/project/test_project.py
+++ b/tests/project/test_project.py
@@ -1,4 +1,4 @@
-"""What the project promises of its own files."""
+"""Rules for the project's own files: the policy package, README.md and the on-call page."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def policy_files() -> list[Path]:
-    """Every file of the policy, with the package's own."""
+    """All Python files of the policy package, `__init__.py` included."""
     files = sorted(POLICY.rglob("*.py"))
     assert {"__init__.py", "engine.py", "load_balancing.py", "quota.py"} <= {file.name for file in files}
     return files
@@ -28,7 +28,7 @@
     assert "badgeryoke/decisions/interface.py" in texts[POLICY / "engine.py"][0]
 
 
-def test_the_policy_holds_nothing_but_python_and_is_listed_file_by_file() -> None:
+def test_the_policy_package_has_only_listed_python_files() -> None:
     """Every file of the package is a Python file, is checked here and is listed in deploy/balancer.toml."""
     files = [file for file in POLICY.rglob("*") if file.is_file() and "__pycache__" not in file.parts]
     assert sorted(files) == policy_files()
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("file", policy_files(), ids=lambda file: file.name)
 def test_no_state_outside_the_instances(file: Path) -> None:
-    """Read from the syntax tree: constants at the top, no clock, no hash(), no random but the seeded."""
+    """Module level has only numeric constants; no clock, no hash(), no sets and only seeded random draws."""
     tree = ast.parse(file.read_text(encoding="utf-8"))
     for node in tree.body:
         if isinstance(node, ast.Assign | ast.AnnAssign | ast.AugAssign):
@@ -65,22 +65,23 @@
     return path / "__init__.py" if path.is_dir() else path.with_suffix(".py")
 
 
-def test_what_the_policy_imports_imports_nothing_of_it() -> None:
-    found = [f"{POLICY_PACKAGE}.{file.stem}" for file in policy_files() if file.stem != "__init__"]
-    found.append("badgeryoke.decisions.counter_health.visibility")  # the policy calls it through a protocol
-    seen = dict.fromkeys(found)
-    while found:
-        name = found.pop()
+def test_modules_imported_by_the_policy_do_not_import_it() -> None:
+    pending = [f"{POLICY_PACKAGE}.{file.stem}" for file in policy_files() if file.stem != "__init__"]
+    pending.append("badgeryoke.decisions.counter_health.visibility")  # the policy calls it through a protocol
+    seen = dict.fromkeys(pending)
+    while pending:
+        name = pending.pop()
         tree = ast.parse(source_of(name).read_text(encoding="utf-8"))
         imports = [part for part in ast.walk(tree) if isinstance(part, ast.ImportFrom)]
-        pairs = [(part.module or "", one.name) for part in imports for one in part.names]
+        pairs = [(part.module or "", alias.name) for part in imports for alias in part.names]
         named = [
-            f"{module}.{one}" if source_of(f"{module}.{one}").is_file() else module for module, one in pairs
+            f"{module}.{imported}" if source_of(f"{module}.{imported}").is_file() else module
+            for module, imported in pairs
         ]
         here = [module for module in named if module.startswith("badgeryoke")]
         if not name.startswith(POLICY_PACKAGE):
             assert not any(module.startswith(POLICY_PACKAGE) for module in here), name
-        found += [module for module in here if module not in seen]
+        pending += [module for module in here if module not in seen]
         seen |= dict.fromkeys(here)
     assert f"{POLICY_PACKAGE}.engine" not in imports_of("load_balancing") | imports_of("quota")
     assert f"{POLICY_PACKAGE}.load_balancing" not in imports_of("quota")
@@ -92,7 +93,7 @@
 
 
 def imports_of(name: str) -> set[str]:
-    """The modules that a module of the policy names in its imports."""
+    """The modules that a policy module imports from."""
     tree = ast.parse((POLICY / f"{name}.py").read_text(encoding="utf-8"))
     return {part.module or "" for part in ast.walk(tree) if isinstance(part, ast.ImportFrom)}
 
@@ -100,9 +101,9 @@
 def test_the_readme_example_runs() -> None:
     text = (ROOT / "README.md").read_text(encoding="utf-8")
     [example] = re.findall(r"```python\n(.*?)```", text, re.S)
-    space: dict[str, object] = {}
-    exec(compile(example, "README.md", "exec"), space)
-    assert space["sent"]
+    namespace: dict[str, object] = {}
+    exec(compile(example, "README.md", "exec"), namespace)
+    assert namespace["sent"]
 
 
 def test_every_logger_on_the_on_call_page_is_a_module() -> None:
