--- a/badgeryoke/testbed/checkers/contract_ledger.py
+++ b/badgeryoke/testbed/checkers/contract_ledger.py
@@ -40,38 +40,40 @@
     asked: dict[int, float] = field(default_factory=dict)  # units requested, by second
     due: dict[int, float] = field(default_factory=dict)  # units expected to be served, by second
     served: dict[int, float] = field(default_factory=dict)  # units served, by second
-    times: list[list[float]] = field(default_factory=list)  # busy periods: units due, units served
+    busy_periods: list[list[float]] = field(default_factory=list)  # of each: units due, units served
 
     def record_request(self, now: float, units: float, partitioned: bool = False) -> tuple[int, bool]:
         """Record a request; `partitioned` marks one at a partitioned gateway, where no rate is guaranteed.
 
         Returns the busy period and whether the request counts, as `record_served` needs them.
         """
-        if not self.times or now > self.last + BUSY_PERIOD_GAP_MS:
-            self.times.append([0.0, 0.0])
+        if not self.busy_periods or now > self.last + BUSY_PERIOD_GAP_MS:
+            self.busy_periods.append([0.0, 0.0])
         self.last = now
         filled = (
-            self.rate * (now - self.at) / 1000.0 if len(self.times) > 1 or self.times[0][0] else self.burst
+            self.rate * (now - self.at) / 1000.0
+            if len(self.busy_periods) > 1 or self.busy_periods[0][0]
+            else self.burst
         )
         self.level = min(self.level + filled, self.burst)
         self.units = min(self.units + filled, self.burst)
         self.at = now
         due = min(units, self.units)
         self.units -= due
-        self.times[-1][0] += due
+        self.busy_periods[-1][0] += due
         if partitioned:
-            return len(self.times) - 1, False
+            return len(self.busy_periods) - 1, False
         second = int(now // 1000.0)
         self.asked[second] = self.asked.get(second, 0.0) + units
         if self.level >= units - UNITS_TOLERANCE:
             self.level = max(self.level - units, 0.0)
             self.due[second] = self.due.get(second, 0.0) + units
-        return len(self.times) - 1, True
+        return len(self.busy_periods) - 1, True
 
     def record_served(self, now: float, units: float, request: tuple[int, bool]) -> None:
         """Record units served of a request; `request` is what `record_request` returned for it."""
         period, counts = request
-        self.times[period][1] += units
+        self.busy_periods[period][1] += units
         if counts:
             second = int(now // 1000.0)
             self.served[second] = self.served.get(second, 0.0) + units
@@ -94,7 +96,7 @@
 
     def units_short(self) -> float:
         """Units due and not served, over all busy periods."""
-        return sum(max(due - served, 0.0) for due, served in self.times)
+        return sum(max(due - served, 0.0) for due, served in self.busy_periods)
 
     def report_error(self, reported: float) -> float:
         """The relative error of a reported number of short units.
@@ -102,7 +104,7 @@
         The base is at least a twentieth of the units due, so that few short units do not inflate it.
         """
         return abs(reported - self.units_short()) / max(
-            self.units_short(), MIN_ERROR_BASE_FRACTION * sum(due for due, _ in self.times), 1.0
+            self.units_short(), MIN_ERROR_BASE_FRACTION * sum(due for due, _ in self.busy_periods), 1.0
         )
 
 
--- a/badgeryoke/testbed/emulator/cluster.py
+++ b/badgeryoke/testbed/emulator/cluster.py
@@ -510,7 +510,7 @@
                     # By the gateways' own count of what they drew, in which nothing is that was served as to
                     # anybody.
                     drawn = sum(units for (contract, _), units in self._drawn.items() if contract == name)
-                    due = sum(due for due, _ in book.times)
+                    due = sum(due for due, _ in book.busy_periods)
                     lacked = one["short"].get("no lease", 0.0)
                     self.contracts[name].update(
                         lacked_error=round(
@@ -526,7 +526,7 @@
                         drawn=round(drawn, 1),
                         short=round(book.units_short(), 2),
                         due=round(due, 1),
-                        served=round(sum(served for _, served in book.times), 1),
+                        served=round(sum(served for _, served in book.busy_periods), 1),
                     )
         await self.client.read_back(READ_S + READ_EACH_S * len(self.book.acknowledged))
 
--- a/tests/decisions/test_behaviour_digests.py
+++ b/tests/decisions/test_behaviour_digests.py
@@ -380,23 +380,23 @@
         self.digest, self.kinds = digest, dict[str, int]()
 
     def request_sent(
-        self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
+        self, now: float, request_id: str, customer: int, plan: str, units: float, gateway: int
     ) -> None:
         """Add a client request."""
-        self.digest.add((0, now, rid, customer, units, gateway))
-        super().request_sent(now, rid, customer, plan, units, gateway)
+        self.digest.add((0, now, request_id, customer, units, gateway))
+        super().request_sent(now, request_id, customer, plan, units, gateway)
 
     def attempt_arrived(
-        self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
+        self, now: float, request_id: str, customer: int, plan: str, units: float, gateway: int
     ) -> None:
         """Add an attempt that has reached its server."""
-        self.digest.add((1, now, rid, customer, units, gateway))
-        super().attempt_arrived(now, rid, customer, plan, units, gateway)
+        self.digest.add((1, now, request_id, customer, units, gateway))
+        super().attempt_arrived(now, request_id, customer, plan, units, gateway)
 
-    def response_received(self, now: float, rid: str, kind: str) -> None:
+    def response_received(self, now: float, request_id: str, kind: str) -> None:
         """Add a final response."""
-        self.digest.add((2, now, rid, self.kinds.setdefault(kind, len(self.kinds))))
-        super().response_received(now, rid, kind)
+        self.digest.add((2, now, request_id, self.kinds.setdefault(kind, len(self.kinds))))
+        super().response_received(now, request_id, kind)
 
 
 class RecordingCounter(CounterModel):
