--- a/badgeryoke/testbed/cluster_benchmark.py
+++ b/badgeryoke/testbed/cluster_benchmark.py
@@ -203,8 +203,8 @@
                 ClusterSettings(
                     True,
                     "bench",
-                    one.name,
-                    str(Path(self._folder.name) / one.name),
+                    entry.name,
+                    str(Path(self._folder.name) / entry.name),
                     copies,
                     groups,
                     entries,
@@ -213,7 +213,7 @@
                 ),
                 pools,
             )
-            for one in entries
+            for entry in entries
         ]
         until = time.monotonic() + 30.0
         while not self._has_all_leaders(groups):
@@ -226,19 +226,21 @@
     def _has_all_leaders(self, groups: int) -> bool:
         leaders: dict[str, str] = {}
         for _, status in self.send_to_all(do="status"):
-            leaders.update({group: one["leader"] for group, one in status["groups"].items() if one["leader"]})
+            leaders.update(
+                {name: group["leader"] for name, group in status["groups"].items() if group["leader"]}
+            )
         return len(leaders) == groups + 1
 
     def send_to_all(self, **command: Any) -> list[tuple[float, Any]]:
         """Send a command to all members and return their results."""
-        for one in self.members:
-            one.send_command(**command)
-        return [one.read_result() for one in self.members]
+        for member in self.members:
+            member.send_command(**command)
+        return [member.read_result() for member in self.members]
 
     def end(self) -> None:
         """End all processes and remove their folders."""
-        for one in self.members:
-            one.end()
+        for member in self.members:
+            member.end()
         self._folder.cleanup()
 
     def __enter__(self) -> BenchmarkCluster:
@@ -262,15 +264,16 @@
         if profile:
             cluster.members[0].send_command(do="profiled")
             cluster.members[0].read_result()
-        for (cpu, was), (later, now) in zip(before, after, strict=True):
-            sent = sum(one["sent"] for one in now["links"].values()) - sum(
-                one["sent"] for one in was["links"].values()
+        for (cpu_before, status_before), (cpu_after, status_after) in zip(before, after, strict=True):
+            sent = sum(link["sent"] for link in status_after["links"].values()) - sum(
+                link["sent"] for link in status_before["links"].values()
             )
-            leads = sum(one["leader"] == now["me"] for one in now["groups"].values())
+            leads = sum(group["leader"] == status_after["me"] for group in status_after["groups"].values())
             print(
-                f"{now['me']:14} {(later - cpu) / elapsed * 1000.0:6.1f} ms of CPU a second, "
-                f"{sent / elapsed:6.1f} messages, {len(now['groups'])} copies, leads {leads}, "
-                f"{(now['store']['transactions'] - was['store']['transactions']) / elapsed:.1f} transactions"
+                f"{status_after['me']:14} {(cpu_after - cpu_before) / elapsed * 1000.0:6.1f} ms of CPU a second, "
+                f"{sent / elapsed:6.1f} messages, {len(status_after['groups'])} copies, leads {leads}, "
+                f"{(status_after['store']['transactions'] - status_before['store']['transactions']) / elapsed:.1f} "
+                "transactions"
             )
 
 
@@ -279,11 +282,12 @@
     each = max(under_way // len(cluster.members), 1)
     loading = cluster.members if under_way > 1 else cluster.members[:1]
     before = cluster.send_to_all(do="status")
-    for one in loading:
-        one.send_command(do="load", under_way=each, seconds=seconds)
-    latencies_ms = sorted(ms for one in loading for ms in one.read_result()[1])
+    for member in loading:
+        member.send_command(do="load", under_way=each, seconds=seconds)
+    latencies_ms = sorted(ms for member in loading for ms in member.read_result()[1])
     cpu = sum(
-        later - was for (was, _), (later, _) in zip(before, cluster.send_to_all(do="status"), strict=True)
+        cpu_after - cpu_before
+        for (cpu_before, _), (cpu_after, _) in zip(before, cluster.send_to_all(do="status"), strict=True)
     )
     print(
         f"{label}, {each * len(loading)} under way: {len(latencies_ms) / seconds:7.0f} a second, p50 "
@@ -322,7 +326,8 @@
         world.calendar.run(25_000.0)
         sent = sorted((many - before.get(name, 0)) / 5.0 for name, many in world.network.messages.items())
         founded = sum(
-            one.node is not None and one.node.bootstrap.record is not None for one in world.machines.values()
+            machine.node is not None and machine.node.bootstrap.record is not None
+            for machine in world.machines.values()
         )
         print(
             f"{members:3} members, {founded} founded: {sum(sent) / members:6.1f} messages a second each, least "
@@ -347,7 +352,9 @@
             play_seed(seed, 5, "lossless")
         cpu_s[on].append(time.process_time() - started_at)
     RaftNode._check, Invariants.check = checked  # type: ignore[method-assign]
-    ratio = statistics.median(one / off for one, off in zip(cpu_s[True], cpu_s[False], strict=True))
+    ratio = statistics.median(
+        checked_s / unchecked_s for checked_s, unchecked_s in zip(cpu_s[True], cpu_s[False], strict=True)
+    )
     print(
         f"checked {min(cpu_s[True]):.2f} s, not {min(cpu_s[False]):.2f} s, "
         f"ratio {ratio:.3f} (middle of {rounds} pairs)"
@@ -359,7 +366,10 @@
     process = stage._gateways[0].process
     assert process is not None
     return (
-        sum(int(one.read_text().split()[0]) for one in Path(f"/proc/{process.pid}/task").glob("*/schedstat"))
+        sum(
+            int(schedstat.read_text().split()[0])
+            for schedstat in Path(f"/proc/{process.pid}/task").glob("*/schedstat")
+        )
         / 1e9
     )
 
--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -230,7 +230,8 @@
         )
     sys.exit(
         0
-        if all(map(within_error_bounds, results)) and not any(one.violations() for one in fleets)
+        if all(map(within_error_bounds, results))
+        and not any(figures_of_run.violations() for figures_of_run in fleets)
         else VIOLATION
     )
 
@@ -260,9 +261,9 @@
             "median": values[len(values) // 2],
             "best": values[-1 if lower_is_worse else 0],
         }
-    cluster_figures = worst_and_median([one.to_dict() for one in fleets or [FleetFigures()]])
+    cluster_figures = worst_and_median([figures.to_dict() for figures in fleets or [FleetFigures()]])
     worst = {key: row.get("worst") for key, row in cluster_figures.items()}
-    if states := [one.roll_state for one in fleets or [] if one.roll_state is not None]:
+    if states := [figures.roll_state for figures in fleets or [] if figures.roll_state is not None]:
         worst["roll_state"] = next((state for state in states if state != "done"), "done")
     return {
         "scenario": text.name,
--- a/badgeryoke/testbed/report/write.py
+++ b/badgeryoke/testbed/report/write.py
@@ -100,7 +100,9 @@
 
 def _render(folders: list[Path], to: Path, title: str) -> Path:
     environment = Environment(loader=FileSystemLoader(Path(__file__).parent), autoescape=True)
-    page = environment.get_template("page.html.j2").render(title=title, runs=[_run(one) for one in folders])
+    page = environment.get_template("page.html.j2").render(
+        title=title, runs=[_run(folder) for folder in folders]
+    )
     to.write_text(page, encoding="utf-8")
     return to
 
--- a/badgeryoke/testbed/scenario/parser.py
+++ b/badgeryoke/testbed/scenario/parser.py
@@ -55,12 +55,12 @@
         return read_section
 
     def copies(sub: Form) -> int:
-        found = read_integer(sub, 1, 1, max(REPLICATION_FACTORS))
-        if found not in REPLICATION_FACTORS:
+        count = read_integer(sub, 1, 1, max(REPLICATION_FACTORS))
+        if count not in REPLICATION_FACTORS:
             raise error_at(
-                sub.items[1], f"copies: {found} is none of {', '.join(map(str, REPLICATION_FACTORS))}"
+                sub.items[1], f"copies: {count} is none of {', '.join(map(str, REPLICATION_FACTORS))}"
             )
-        return found
+        return count
 
     def field(key: str, read_value: Callable[[Form], object]) -> Callable[[Form], None]:
         def read_section(sub: Form) -> None:
--- a/badgeryoke/testbed/simulation/counter.py
+++ b/badgeryoke/testbed/simulation/counter.py
@@ -24,17 +24,17 @@
 
     totals: dict[int, tuple[float, float]] = field(default_factory=dict)
     log: deque[tuple[float, int, float, float]] = field(default_factory=deque)
-    at_split: dict[int, float] = field(default_factory=dict)  # totals at the time of the split
+    totals_at_split: dict[int, float] = field(default_factory=dict)  # totals at the time of the split
     free_at: float = 0.0
     up: bool = True
 
     def add(self, now: float, name: int, units: float, expire_ms: float) -> float:
         """Add units to a name and return its total, rounded to seven digits."""
-        total, ends = self.totals.get(name, (0.0, 0.0))
-        if now >= ends:
-            total, ends = 0.0, now + min(max(expire_ms, 1.0), 60_000.0)
+        total, expires_at = self.totals.get(name, (0.0, 0.0))
+        if now >= expires_at:
+            total, expires_at = 0.0, now + min(max(expire_ms, 1.0), 60_000.0)
         total += units
-        self.totals[name] = total, ends
+        self.totals[name] = total, expires_at
         self.log.append((now, name, units, expire_ms))
         while self.log[0][0] < now - LOG_RETENTION_MS:
             self.log.popleft()
@@ -44,8 +44,8 @@
         """Undo the additions since a time."""
         while self.log and self.log[-1][0] >= since:
             _, name, units, _ = self.log.pop()
-            total, ends = self.totals[name]
-            self.totals[name] = total - units, ends
+            total, expires_at = self.totals[name]
+            self.totals[name] = total - units, expires_at
         self.totals = {name: entry for name, entry in self.totals.items() if abs(entry[0]) > 1e-9}
 
 
@@ -69,7 +69,7 @@
         self.up, self.frozen, self.spoilt, self.slow = True, False, False, 1.0
 
     def call(self, now: float, gateway: int, name: int, units: float, expire_ms: float) -> CounterResponse:
-        """Process a call that arrives at a time."""
+        """Process a call that arrives at `now`."""
         parts = self._sides[self._side_of[gateway]]
         part = parts[name % len(parts)]
         if not self.up or not part.up:
@@ -85,7 +85,7 @@
         return CounterResponse(now + wait + delay, total, "spoilt" if self.spoilt else "ok")
 
     def inject_fault(self, now: float, fault: Fault) -> None:
-        """Inject a fault."""
+        """Apply a fault of the counter at `now`."""
         match fault.word:
             case "kill" if fault.mode == "part":
                 for side in self._sides:
@@ -110,7 +110,9 @@
             case "split":
                 whole = self._sides[0]
                 for part in whole:
-                    part.at_split = {name: total for name, (total, ends) in part.totals.items() if now < ends}
+                    part.totals_at_split = {
+                        name: total for name, (total, expires_at) in part.totals.items() if now < expires_at
+                    }
                 self._sides = [copy.deepcopy(whole) for _ in fault.groups]
                 for index, group in enumerate(fault.groups):
                     for number in group:
@@ -130,23 +132,23 @@
 
     def _heal(self, now: float, fault: Fault) -> None:
         if fault.mode == "keep":
-            kept = self._sides[self._side_of[int(fault.amount) - 1]]
+            remaining = self._sides[self._side_of[int(fault.amount) - 1]]
         else:
-            kept = self._sides[0]
+            remaining = self._sides[0]
             for side in self._sides[1:]:
-                for target, source in zip(kept, side, strict=True):
+                for target, source in zip(remaining, side, strict=True):
                     _merge(target, source, now)
-        self._sides = [kept]
+        self._sides = [remaining]
         self._side_of = [0] * len(self._side_of)
 
 
 def _merge(target: Part, source: Part, now: float) -> None:
-    for name, (total, ends) in source.totals.items():
-        if now >= ends:
+    for name, (total, expires_at) in source.totals.items():
+        if now >= expires_at:
             continue
-        base = source.at_split.get(name, 0.0)
+        base = source.totals_at_split.get(name, 0.0)
         entry = target.totals.get(name)
         if entry is None or now >= entry[1]:
-            target.totals[name] = total, ends
+            target.totals[name] = total, expires_at
         else:
             target.totals[name] = entry[0] + total - base, entry[1]
--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -204,14 +204,14 @@
         ):
             links.happen(link_fault("cut"))
             client_writer.write_eof()
-            _, again = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
-            again.write(b"anyone?")
+            _, second_writer = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
+            second_writer.write(b"anyone?")
             while links.ways[0, 1].lost < 7:
                 await asyncio.sleep(0.001)
             assert len(links.open) == 2 and not server_reader.at_eof() and not server_writer.is_closing()
             links.mend()
             assert await server_reader.read() == b"" and not links.open
-            again.transport.abort()
+            second_writer.transport.abort()
 
     run_with_timeout(test)
 
@@ -440,6 +440,6 @@
             [],
         )
         assert stage.fleet is not None and stage.fleet.rolls[0]["restarts"] == 3
-        assert stage.counts["served"] > 0 and max(one.most_open for one in stage._servers) > 0
+        assert stage.counts["served"] > 0 and max(server.most_open for server in stage._servers) > 0
 
     run_with_timeout(test, 110.0)
--- a/tests/testbed/test_planted_faults.py
+++ b/tests/testbed/test_planted_faults.py
@@ -42,7 +42,7 @@
 
 
 def vote_sent_before_persisted(patch: pytest.MonkeyPatch) -> None:
-    """A vote is sent before it is persisted and the invariant check is bypassed; the comparison with the disk finds it."""
+    """A vote is sent before it is persisted, past the invariant check; the comparison with the disk finds it."""
     original = RaftNode._send_when_persisted
 
     def send_when_persisted(self: RaftNode, to: str, message: Any) -> None:
