--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -80,7 +80,7 @@
 
 @lab.command()
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, help="Of the clients' and servers' chance.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random draws.")
 @click.option("--watch/--no-watch", default=None, help="Switch the watch over the counter on or off.")
 @click.option("--to", type=click.Path(path_type=Path), help="Folder for figures, events and the report.")
 @click.option("--json", "as_json", is_flag=True, help="The figures as one JSON document.")
@@ -88,7 +88,7 @@
     """Play SCENARIO (a shipped name or a file) on sockets, with real gateway processes.
 
     It takes the scenario's length in real time, and some seconds more.  Exit code 1 where a ceiling was
-    broken, the stated error passed, or something that the fleet promised does not hold.
+    broken, the stated error was exceeded, or a guarantee of the fleet was violated.
 
     \b
     Example:
@@ -161,7 +161,9 @@
 @lab.command()
 @click.argument("scenario")
 @click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 100_000))
-@click.option("--gateways", type=click.IntRange(1, 200), help="Another number than the scenario's.")
+@click.option(
+    "--gateways", type=click.IntRange(1, 200), help="Number of gateways, in place of the scenario's."
+)
 @click.option("--watch/--no-watch", default=None, help="Switch the watch over the counter on or off.")
 @click.option("--to", type=click.Path(path_type=Path), help="Folder for figures, events and the report.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON document.")
@@ -177,8 +179,8 @@
 ) -> None:
     """Play SCENARIO in simulated time against the decision code, once for each seed.
 
-    The same scenario and seed give the same bytes.  Exit code 1 where a ceiling was broken, the stated
-    error passed, or something that the fleet promised does not hold, with any seed.
+    The same scenario and seed give the same output.  Exit code 1 where a ceiling was broken, the stated
+    error was exceeded, or a guarantee of the fleet was violated, with any seed.
 
     \b
     Example:
@@ -314,7 +316,7 @@
 @lab.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def report(folder: Path) -> None:
-    """Write the HTML page of a result folder anew.
+    """Write the HTML page of a result folder again.
 
     \b
     Example:
@@ -330,7 +332,7 @@
 
 
 @click.command()
-@click.option("--seconds", default=0.0, help="End after so long; 0: at Ctrl-C.")
+@click.option("--seconds", default=0.0, help="Length of the run in seconds; 0: until Ctrl-C.")
 @click.option("--json", "as_json", is_flag=True, help="No live figures; one JSON document at the end.")
 def demo(seconds: float, as_json: bool) -> None:
     """One gateway, an emulated fleet and a light load, with live figures: the first thing to run.
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -52,7 +52,7 @@
         entries[fields[0]] = KnownRed(*fields)
     if len(entries) > MAX_ENTRIES:
         raise pytest.UsageError(
-            f"{FILE_NAME}: {len(entries)} tests, {MAX_ENTRIES} at the most: mend one first"
+            f"{FILE_NAME}: {len(entries)} tests, {MAX_ENTRIES} at the most: fix one first"
         )
     return entries
 
@@ -66,7 +66,7 @@
     for item in items:
         if marks := [mark.name for mark in item.iter_markers() if mark.name in FORBIDDEN_MARKS]:
             raise pytest.UsageError(
-                f"{item.nodeid}: marked {marks[0]}; what fails for a real fault goes into {FILE_NAME}"
+                f"{item.nodeid}: marked {marks[0]}; list a test that fails for a known fault in {FILE_NAME}"
             )
     tests = {item.nodeid for item in items}
     files = {test.partition("::")[0] for test in tests}
@@ -82,7 +82,7 @@
 
 def pytest_collectreport(report: pytest.CollectReport) -> None:
     if report.skipped:
-        raise pytest.UsageError(f"{report.nodeid}: skipped as a whole; no test may be")
+        raise pytest.UsageError(f"{report.nodeid}: skipped completely; tests must not be skipped")
 
 
 # Runs around pytest's own hook, which sets the outcome of skips and expected failures.
@@ -92,10 +92,13 @@
     red = item.config.stash[KNOWN_RED].get(item.nodeid)
     if report.skipped or hasattr(report, "wasxfail"):
         report.__dict__.pop("wasxfail", None)
-        report.outcome, report.longrepr = "failed", "skipped, or expected to fail: no test may be"
+        report.outcome, report.longrepr = (
+            "failed",
+            "skipped or marked as an expected failure, which is not allowed",
+        )
     elif red is not None and report.when == "call":
         if report.passed:
-            report.outcome, report.longrepr = "failed", f"it passes: take its line out of {FILE_NAME}"
+            report.outcome, report.longrepr = "failed", f"the test passes: remove its line from {FILE_NAME}"
         else:
             report.outcome, report.wasxfail = "skipped", red.cause
     return report
--- a/tests/project/test_known_red.py
+++ b/tests/project/test_known_red.py
@@ -82,7 +82,7 @@
             {"test_a": GOOD_AND_BAD},
             ("-k", "good"),
             FAILED,
-            "*it passes: take its line out*",
+            "*the test passes: remove its line from KNOWN-RED.txt*",
         ),
         (MISSING_ENTRY, {"test_a": GOOD_AND_BAD}, (), USAGE, "*there is no test test_a.py::test_gone*"),
         (
