--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -97,19 +97,19 @@
     from badgeryoke.testbed.emulator.cluster import unplayable
     from badgeryoke.testbed.emulator.run import Stage
 
-    text, source = _load(scenario)
-    if problem := unplayable(text):
+    parsed, source = _load(scenario)
+    if problem := unplayable(parsed):
         click.echo(f"{scenario}: {problem}", err=True)
         sys.exit(UNUSABLE)
     if watch is not None:
-        text = replace(text, watch=watch)
+        parsed = replace(parsed, watch=watch)
     with Progress(console=Console(stderr=True), transient=True, disable=as_json) as progress:
-        task = progress.add_task(text.name, total=text.length_ms)
+        task = progress.add_task(parsed.name, total=parsed.length_ms)
 
         def on_event(event: dict[str, Any]) -> None:
             progress.update(task, completed=event["at_ms"])
 
-        stage = Stage(text, seed, to / "gateways" if to else None, on_event)
+        stage = Stage(parsed, seed, to / "gateways" if to else None, on_event)
         try:
             result = asyncio.run(stage.play())
         except (RuntimeError, OSError) as error:
@@ -118,7 +118,7 @@
     fleet = stage.fleet_figures()
     figures = {**result.figures(), **stage.extra_figures(), **fleet.to_dict(), "kind": "sockets"}
     if to is not None:
-        write_folder(to, text, source, [result], figures, stage.events)
+        write_folder(to, parsed, source, [result], figures, stage.events)
     _print_figures(figures, within_error_bounds(result) and not fleet.violations(), as_json, to)
 
 
@@ -150,12 +150,12 @@
 
 def _run_seed(job: tuple[Scenario, int]) -> tuple[Result, FleetFigures]:
     """Run one seed: the decisions on requests and, for a cluster, the simulation of its members."""
-    text, seed = job
-    if not text.fleet:
-        return play(text, seed), FleetFigures()
+    parsed, seed = job
+    if not parsed.fleet:
+        return play(parsed, seed), FleetFigures()
     from badgeryoke.testbed.cluster_simulation.generated_plans import play_scenario
 
-    return play(text, seed), play_scenario(text, seed)
+    return play(parsed, seed), play_scenario(parsed, seed)
 
 
 @lab.command()
@@ -186,23 +186,23 @@
     Example:
         badgeryoke lab sim counter-split --seeds 100
     """
-    text, source = _load(scenario)
+    parsed, source = _load(scenario)
     if watch is not None:
-        text = replace(text, watch=watch)
+        parsed = replace(parsed, watch=watch)
     if gateways is not None:
-        text = resize(text, gateways)
+        parsed = resize(parsed, gateways)
     results: list[Result] = []
     fleets: list[FleetFigures] = []
     with (
         multiprocessing.Pool(jobs or None) as pool,
         Progress(console=Console(stderr=True), transient=True, disable=as_json) as progress,
     ):
-        task = progress.add_task(text.name, total=seeds)
-        for result, fleet in pool.imap(_run_seed, [(text, seed) for seed in range(1, seeds + 1)]):
+        task = progress.add_task(parsed.name, total=seeds)
+        for result, fleet in pool.imap(_run_seed, [(parsed, seed) for seed in range(1, seeds + 1)]):
             results.append(result)
             fleets.append(fleet)
             progress.advance(task)
-    figures = summary(text, results, fleets)
+    figures = summary(parsed, results, fleets)
     if to is not None:
         events = [
             {
@@ -214,7 +214,7 @@
             }
             for report in results[0].state_reports
         ]
-        write_folder(to, text, source, results, figures, events)
+        write_folder(to, parsed, source, results, figures, events)
     if as_json:
         _print_json(figures)
     else:
@@ -238,16 +238,18 @@
     )
 
 
-def resize(text: Scenario, gateways: int) -> Scenario:
+def resize(parsed: Scenario, gateways: int) -> Scenario:
     """The scenario with another number of gateways; a split separates the first third, at least one gateway."""
     first_size = max(gateways // 3, 1)
     groups = (tuple(range(1, first_size + 1)), tuple(range(first_size + 1, gateways + 1)))
-    faults = tuple(replace(fault, groups=groups) if fault.word == "split" else fault for fault in text.faults)
-    return replace(text, gateways=gateways, started=gateways, faults=faults)
+    faults = tuple(
+        replace(fault, groups=groups) if fault.word == "split" else fault for fault in parsed.faults
+    )
+    return replace(parsed, gateways=gateways, started=gateways, faults=faults)
 
 
 def summary(
-    text: Scenario, results: list[Result], fleets: list[FleetFigures] | None = None
+    parsed: Scenario, results: list[Result], fleets: list[FleetFigures] | None = None
 ) -> dict[str, Any]:
     """Summarise all seeds: worst, median and best of each figure; the cluster's own keys hold the worst."""
     rows = [result.figures() for result in results]
@@ -268,11 +270,11 @@
     if states := [figures.roll_state for figures in fleets or [] if figures.roll_state is not None]:
         worst["roll_state"] = next((state for state in states if state != "done"), "done")
     return {
-        "scenario": text.name,
+        "scenario": parsed.name,
         "kind": "simulated",
         "seeds": len(rows),
-        "gateways": text.gateways,
-        "watch": text.watch,
+        "gateways": parsed.gateways,
+        "watch": parsed.watch,
         "spread": {**parts, **cluster_figures},
         **worst,
         "stated_error": rows[0]["stated_error"],
@@ -343,13 +345,13 @@
     """
     from badgeryoke.testbed.emulator.run import Stage
 
-    text, _ = _load("demo")
-    text = replace(text, length_ms=seconds * 1000.0 if seconds > 0 else 24 * 3_600_000.0)
+    parsed, _ = _load("demo")
+    parsed = replace(parsed, length_ms=seconds * 1000.0 if seconds > 0 else 24 * 3_600_000.0)
     console = Console()
     with Live(console=console, refresh_per_second=4, screen=False) as live:
         if as_json:
             live.stop()
-        stage = Stage(text, 1, None, _event_painter(live, as_json))
+        stage = Stage(parsed, 1, None, _event_painter(live, as_json))
         if not as_json:
             console.print(
                 "badgeryoke demo: one real gateway on loopback, everything around it emulated. "
--- a/badgeryoke/testbed/report/write.py
+++ b/badgeryoke/testbed/report/write.py
@@ -30,7 +30,7 @@
 
 def write_folder(
     folder: Path,
-    text: Scenario,
+    scenario: Scenario,
     source: str,
     results: list[Result],
     figures: dict[str, Any],
@@ -43,9 +43,9 @@
         **figures,
         "within_stated": all(map(within_error_bounds, results)),
         "commit": commit(),
-        "setup": f"{text.gateways} gateways, {text.servers} servers, "
-        f"{sum(customer_group.count for customer_group in text.customer_groups)} customers; watch "
-        f"{'on' if text.watch else 'off'}; {figures['kind']}",
+        "setup": f"{scenario.gateways} gateways, {scenario.servers} servers, "
+        f"{sum(customer_group.count for customer_group in scenario.customer_groups)} customers; watch "
+        f"{'on' if scenario.watch else 'off'}; {figures['kind']}",
     }
     (folder / "figures.json").write_text(json.dumps(figures, indent=1, sort_keys=True) + "\n")
     lines = [json.dumps(event, sort_keys=True) + "\n" for event in events]
@@ -112,9 +112,9 @@
     events = [json.loads(line) for line in (folder / "events.jsonl").read_text().splitlines()]
     rows_by_step = json.loads((folder / "line.json").read_text())
     source = (folder / "scenario.scm").read_text()
-    text = parse(source)
-    seconds = text.length_ms / 1000.0
-    rows_by_step = [row for row in rows_by_step if 0 <= row["at_ms"] < text.length_ms]
+    scenario = parse(source)
+    seconds = scenario.length_ms / 1000.0
+    rows_by_step = [row for row in rows_by_step if 0 <= row["at_ms"] < scenario.length_ms]
     sums: dict[str, dict[float, float]] = {key: defaultdict(float) for key in ("sent", "beyond", "oracle")}
     gateways: dict[int, dict[float, float]] = defaultdict(lambda: defaultdict(float))
     for row in rows_by_step:
@@ -122,8 +122,8 @@
         for key, values in sums.items():
             values[at] += row[key]
         gateways[row["gateway"]][at] += row["sent"]
-    shaded = text.fault_period[0] / 1000.0, text.fault_period[1] / 1000.0
-    marks = [(fault.at_ms / 1000.0, f"{fault.word} {fault.target} {fault.mode}") for fault in text.faults]
+    shaded = scenario.fault_period[0] / 1000.0, scenario.fault_period[1] / 1000.0
+    marks = [(fault.at_ms / 1000.0, f"{fault.word} {fault.target} {fault.mode}") for fault in scenario.faults]
     names = {"sent": "sent", "beyond": "beyond quota", "oracle": "all-knowing"}
     units = chart(
         [Line(names[key], sorted(values.items()), key == "oracle") for key, values in sums.items()],
@@ -155,7 +155,7 @@
     ]
     return {
         "name": folder.name,
-        "about": text.about,
+        "about": scenario.about,
         "setup": figures["setup"],
         "figures": rows,
         "broken": bool(figures["ceiling_broken"]),
@@ -163,7 +163,7 @@
         "units": units,
         "by_gateway": by_gateway,
         "source": source,
-        "beliefs": bands(_state_periods(text, events, seconds), seconds),
+        "beliefs": bands(_state_periods(scenario, events, seconds), seconds),
     }
 
 
@@ -175,7 +175,7 @@
 
 
 def _state_periods(
-    text: Scenario, events: list[dict[str, Any]], seconds: float
+    scenario: Scenario, events: list[dict[str, Any]], seconds: float
 ) -> list[tuple[str, list[tuple[float, float, str]]]]:
     """The periods of the counter's actual state, then of its state as each gateway detected it."""
     state_of_fault = {
@@ -188,7 +188,7 @@
         "restore": "swapped",
     }
     actual: list[tuple[float, str]] = [(0.0, "sound")]
-    for fault in text.faults:
+    for fault in scenario.faults:
         if fault.target == "counter":
             healthy = fault.word in ("start", "thaw", "heal") or (fault.word == "slow" and fault.amount <= 1)
             actual.append(
@@ -196,7 +196,7 @@
             )
     rows = [("true", actual)]
     detected: dict[int, list[tuple[float, str]]] = {
-        number + 1: [(0.0, "unknown")] for number in range(min(text.gateways, 12))
+        number + 1: [(0.0, "unknown")] for number in range(min(scenario.gateways, 12))
     }
     for event in events:
         if event["event"] == "belief" and event["gateway"] in detected:
--- a/badgeryoke/testbed/seed_sweep.py
+++ b/badgeryoke/testbed/seed_sweep.py
@@ -43,7 +43,7 @@
 
 def run_seed(seed: int, name: str, to: Path | None) -> dict[str, Any]:
     """Run one seed; returns JSON values, with `fault` set if the run failed."""
-    text, _ = load(name)
+    scenario, _ = load(name)
     folder = to / f"seed-{seed}" if to else None
     started_s = time.monotonic()
     row: dict[str, Any] = {"seed": seed, "fault": ""}
@@ -56,7 +56,7 @@
             def on_event(event: dict[str, Any]) -> None:
                 events.write(json.dumps(event, sort_keys=True) + "\n")
 
-        stage = Stage(text, seed, folder, on_event)
+        stage = Stage(scenario, seed, folder, on_event)
         try:
             asyncio.run(stage.play())
         except (RuntimeError, OSError) as error:
@@ -68,7 +68,7 @@
         "queries": dict(stage.counts),
         **stage.extra_figures(),
     }
-    if text.rolls and figures.roll_state != "done":
+    if scenario.rolls and figures.roll_state != "done":
         row["bad"].append("roll_state")
     writes, rolls = row.get("promises", {}), row.get("rolls", [])
     row |= {key: writes[key] for key in ("wait_p50_ms", "wait_p99_ms") if key in writes}
@@ -125,11 +125,11 @@
     parser.add_argument("--json", action="store_true", help="each run's figures too")
     options = parser.parse_args(arguments)
     try:
-        text, _ = load(options.scenario)
+        scenario, _ = load(options.scenario)
     except (TextError, OSError) as error:
         print(f"{options.scenario}: {error}", file=sys.stderr)
         return 2
-    if problem := unplayable(text):
+    if problem := unplayable(scenario):
         print(f"{options.scenario}: {problem}", file=sys.stderr)
         return 2
     rows = []
@@ -143,7 +143,7 @@
                 file=sys.stderr,
                 flush=True,
             )
-    document = summary(text.name, rows)
+    document = summary(scenario.name, rows)
     print(json.dumps({**document, "rows": rows} if options.json else document, sort_keys=True, indent=1))
     return 1 if document["failed"] else 0
 
