--- a/badgeryoke/cluster/leases/fair_shares.py
+++ b/badgeryoke/cluster/leases/fair_shares.py
@@ -10,11 +10,12 @@
 
 from collections.abc import Iterable
 
-# Fraction of the rate that several holders want which is granted to none of them.  It refills the free units,
-# which go to holders with waiting requests.
+# Fraction of a rate wanted by several holders that is granted to none of them.  It refills the free units, which
+# go to holders with waiting requests.
 UNGRANTED_FRACTION = 0.3
-DRAW_MULTIPLE = 1.5  # times the rate wanted by holders that draw per request; also granted to nobody
-STANDBY_FRACTION = 0.1  # of a bucket's depth, divided evenly among all holders
+# Rate kept ungranted for holders that draw per request, as a multiple of the rate they want.
+DRAW_MULTIPLE = 1.5
+STANDBY_FRACTION = 0.1  # fraction of a bucket's depth that is divided evenly among all holders
 # Fraction of a bucket's depth for holders that receive requests; the rest is for waiting requests.
 BUSY_FRACTION = 0.3
 
--- a/badgeryoke/cluster/leases/lease.py
+++ b/badgeryoke/cluster/leases/lease.py
@@ -22,15 +22,15 @@
     The holder reduces its use to the amounts it keeps before it sends the request."""
 
     holder: MemberId
-    lease_number: int  # of the lease that the holder has now; 0: none
-    kept_share: float  # the part of its current share that it keeps
-    wanted: float  # the share that it wants in total
-    returned_units: float  # already removed from its bucket
-    kept_depth: float = 0.0  # the part of its bucket's depth that it keeps
-    wanted_units: float = 0.0  # for its bucket
-    takes_spare: bool = False  # also takes capacity that nobody wants, until another holder wants it
-    min_depth: float = 0.0  # bucket depth that its largest request needs
-    draws_per_request: bool = False  # draws units for single requests, and gets no share for the wanted rate
+    lease_number: int  # number of the holder's current lease; 0: no lease
+    kept_share: float  # the part of its current share that the holder keeps
+    wanted: float  # the share that the holder wants in total
+    returned_units: float  # units returned, already removed from the holder's bucket
+    kept_depth: float = 0.0  # the part of its bucket's depth that the holder keeps
+    wanted_units: float = 0.0  # units to add to the holder's bucket
+    takes_spare: bool = False  # whether it also takes capacity that nobody wants, until another holder does
+    min_depth: float = 0.0  # bucket depth that the holder's largest request needs
+    draws_per_request: bool = False  # whether it draws units for single requests and gets no share
 
     @property
     def returns_all(self) -> bool:
@@ -69,7 +69,7 @@
     number: int
     share: float
     wanted: float
-    depth: float = 0.0  # of its bucket
+    depth: float = 0.0  # depth of the holder's token bucket, units
     takes_spare: bool = False
     draws_per_request: bool = False
     # When this machine applied the grant, monotonic ms.  It differs between replicas and is not in snapshots.
@@ -81,15 +81,15 @@
     """A holder's lease after a request.  The holder shrinks to `fair_share` and `fair_depth` before its next
     request."""
 
-    number: int  # of the lease; 0: none
+    number: int  # number of the new lease; 0: no lease
     share: float
-    units: float  # to add to its bucket
+    units: float  # units to add to the holder's bucket
     slack: float  # capacity that is granted to nobody
     holders: int
-    depth: float = 0.0  # of its bucket
+    depth: float = 0.0  # depth of the holder's token bucket, units
     fair_share: float = 0.0
     fair_depth: float = 0.0
-    # The share it may keep: its fair share, plus capacity that nobody wants or that no holder is short of.
+    # The share that the holder may keep: its fair share, plus capacity that nobody wants or that no holder is short of.
     max_share: float = 0.0
     others_deficit: float = 0.0  # how much the other holders are below their fair shares, in total
 
@@ -100,11 +100,11 @@
     have to compute identical values."""
 
     shares: float = 0.0
-    wanted_shares: float = 0.0  # of holders that want a share
+    wanted_shares: float = 0.0  # sum over the holders that want a share
     depths: float = 0.0
     spare_takers: float = 0.0  # number of holders that take spare capacity
-    wanted_draws: float = 0.0  # of holders that draw per request
-    changes: float = 0.0  # since the sums were last recomputed
+    wanted_draws: float = 0.0  # sum over the holders that draw per request
+    changes: float = 0.0  # number of changes since the sums were last recomputed
 
     @classmethod
     def of(cls, leases: Iterable[LeaseShare]) -> LeaseSums:
--- a/badgeryoke/cluster/leases/lease_pool.py
+++ b/badgeryoke/cluster/leases/lease_pool.py
@@ -35,8 +35,9 @@
 MAX_HOLDERS = 1024
 MAX_ACCRUAL_GAP_MS = 250.0  # a longer gap in the group's time fills the bucket for this long only
 RECOMPUTE_AFTER_CHANGES = 64  # changes after which the running sums are recomputed and compared
-ROUNDING_TOLERANCE = 1e-6  # in comparisons of sums over holders
-MAX_SPARE_TAKERS = 20  # with more, a rate that nobody wants is granted to none: each taker renews often
+ROUNDING_TOLERANCE = 1e-6  # tolerance in comparisons of sums over holders
+# With more holders that take spare capacity, an unwanted rate is granted to none of them, since each renews often.
+MAX_SPARE_TAKERS = 20
 
 
 class NewShare(NamedTuple):
@@ -65,13 +66,13 @@
     """
 
     target: float  # the configured capacity
-    depth: float = 0.0  # of the token bucket, units; 0: none
+    depth: float = 0.0  # depth of the token bucket, units; 0: no bucket
     step: float = 0.0
     leases: dict[MemberId, LeaseShare] = field(default_factory=dict)
     last_number: int = 0
-    free_units: float = -1.0  # in no holder's bucket; below 0: all of `depth`
+    free_units: float = -1.0  # units in no holder's bucket; initially all of `depth` if negative
     even_split: bool = True
-    accrued_until_ms: float = 0.0  # of the group's time
+    accrued_until_ms: float = 0.0  # the group's time up to which `free_units` is refilled
     sums: LeaseSums = field(init=False)
 
     def __post_init__(self) -> None:
@@ -196,7 +197,8 @@
         takes_spare = request.takes_spare
         max_share = fair_share if not self.even_split or takes_spare else min(request.wanted, fair_share)
         nothing_wanted = self.sums.wanted_shares + request.wanted_share <= EPSILON
-        if takes_spare and (self.even_split or nothing_wanted):  # the holder lends it to other customers
+        # The holder lends the spare share to other customers.
+        if takes_spare and (self.even_split or nothing_wanted):
             draws = fair_shares.DRAW_MULTIPLE * (self.sums.wanted_draws + request.wanted_draws)
             max_share = max(max_share, self.target - self.sums.wanted_shares - draws)
         # The kept share stays granted even above a lowered target, because it is in use.
@@ -212,7 +214,7 @@
         fair_depth = fair_shares.fair_depth(self.depth, holders, request.wanted_share, wanted_shares)
         fair_depth = max(fair_depth, min(request.min_depth, self.depth))
         increase = max(fair_depth - request.kept_depth, 0.0)
-        is_sole_holder = is_new and not self.leases  # it may take all free units
+        is_sole_holder = is_new and not self.leases  # a sole holder may take all free units
         wanted_units = max(request.wanted_units, fair_depth) if is_sole_holder else request.wanted_units
         units = min(self.free_units, wanted_units)
         free_depth = max(self.depth - self._granted_depth() - request.kept_depth - self.free_units, 0.0)
@@ -284,7 +286,7 @@
         return deficit
 
     def excess(self, holder: MemberId) -> float:
-        """By how much a holder is above its fair share; it should return that much."""
+        """The amount by which a holder's share exceeds its fair share, which the holder should return."""
         lease = self.leases[holder]
         return max(lease.share - self.fair_share(holder, lease.wanted, lease.takes_spare), 0.0)
 
@@ -300,13 +302,13 @@
         self._remove(holder)
         return True
 
-    def expired(self, now: float, outlast_ms: float, since: float) -> list[tuple[MemberId, int]]:
-        """Holders and numbers of leases that have expired by this machine's clock (monotonic ms): `outlast_ms`
-        have passed both since the grant was seen here and since the leader's term began (`since`)."""
+    def expired(self, now: float, expiry_ms: float, leader_since_ms: float) -> list[tuple[MemberId, int]]:
+        """Holders and numbers of leases that have expired by this machine's clock (monotonic ms): `expiry_ms`
+        have passed both since the grant was seen here and since the leader's term began (`leader_since_ms`)."""
         return [
             (holder, lease.number)
             for holder, lease in self.leases.items()
-            if now - max(lease.seen_ms, since) >= outlast_ms
+            if now - max(lease.seen_ms, leader_since_ms) >= expiry_ms
         ]
 
     def mark_seen(self, now: float) -> None:
--- a/tests/cluster/reservations/test_lease_safety.py
+++ b/tests/cluster/reservations/test_lease_safety.py
@@ -239,11 +239,13 @@
 def unseen_lease_counted_as_expired(patch: pytest.MonkeyPatch) -> None:
     """A lease that the leader has not marked as seen yet is released."""
 
-    def expired(self: LeasePool, now: float, outlast_ms: float, since: float) -> list[tuple[str, int]]:
+    def expired(
+        self: LeasePool, now: float, expiry_ms: float, leader_since_ms: float
+    ) -> list[tuple[str, int]]:
         return [
             (holder, lease.number)
             for holder, lease in self.leases.items()
-            if lease.seen_ms == math.inf or now - lease.seen_ms >= outlast_ms
+            if lease.seen_ms == math.inf or now - lease.seen_ms >= expiry_ms
         ]
 
     patch.setattr(LeasePool, "expired", expired)
