--- a/badgeryoke/cluster/reservations/admission.py
+++ b/badgeryoke/cluster/reservations/admission.py
@@ -71,12 +71,12 @@
 
 MAX_CONTRACTS = 1000  # contracts in the cluster that are not settled; more are rejected
 MAX_CONTRACTS_PER_TENANT = 16
-MAX_SETTLED_CONTRACTS = 200  # kept for operators to read; the oldest is dropped first
-MAX_INTERVALS = 20_000  # of all contracts together
-MAX_SHORTFALL_REPORTS = 1024  # per contract: pairs of reporter and cause
+MAX_SETTLED_CONTRACTS = 200  # settled contracts kept for operators to read; the oldest is dropped first
+MAX_INTERVALS = 20_000  # intervals of all contracts together
+MAX_SHORTFALL_REPORTS = 1024  # pairs of reporter and cause, per contract
 CAPACITY_CHANGE_FRACTION = 0.02  # smaller changes of the measured capacity are not proposed
-DEFAULT_UNRESERVED_FRACTION = 0.1  # of the capacity, if no unreserved rate is stated
-MIN_ZONES = 2  # for the default reserve, which covers the loss of one of that many zones
+DEFAULT_UNRESERVED_FRACTION = 0.1  # fraction of the capacity that is left unreserved if no rate is stated
+MIN_ZONES = 2  # least number of zones in the default reserve, which covers the loss of one zone
 
 
 class ContractRegistry:
--- a/badgeryoke/cluster/reservations/answers.py
+++ b/badgeryoke/cluster/reservations/answers.py
@@ -17,8 +17,8 @@
 
     lease_number: int = msgspec.field(name="number")  # 0: no lease
     share: float = msgspec.field(name="part")  # units a second
-    units: float = msgspec.field(name="room")  # to add to its bucket
-    depth: float = msgspec.field(name="cap")  # of its bucket, units
+    units: float = msgspec.field(name="room")  # units to add to the holder's bucket
+    depth: float = msgspec.field(name="cap")  # depth of the holder's token bucket, units
     fair_share: float = msgspec.field(name="fair")
     max_share: float = msgspec.field(name="most")
     others_deficit: float = msgspec.field(name="lack")
@@ -28,10 +28,9 @@
     version: int
     from_ms: float  # Unix ms: start of the window that the lease is for; 0: none
     until_ms: float  # Unix ms: when the share changes without another request
-    later_fraction: float = msgspec.field(
-        name="then"
-    )  # fraction of the share that remains from `until_ms` on
-    at_ms: float  # the group's time
+    # Fraction of the share that remains from `until_ms` on.
+    later_fraction: float = msgspec.field(name="then")
+    at_ms: float  # the group's time, Unix ms
     free_units: float = msgspec.field(name="free")  # units in no holder's bucket
 
 
--- a/badgeryoke/cluster/reservations/capacity_profile.py
+++ b/badgeryoke/cluster/reservations/capacity_profile.py
@@ -14,7 +14,7 @@
 
 from badgeryoke.cluster.leases.lease import EPSILON
 
-MAX_START_TIMES_TRIED = 200  # in the search for the earliest time at which a proposal fits
+MAX_START_TIMES_TRIED = 200  # start times tried in the search for the earliest one at which a proposal fits
 
 
 class ReservedInterval(NamedTuple):
--- a/badgeryoke/cluster/reservations/commands.py
+++ b/badgeryoke/cluster/reservations/commands.py
@@ -26,7 +26,7 @@
 
 MAX_SLICES_PER_REPORT = 256
 MAX_ZONES = 64
-MAX_NAME_LENGTH = 200  # of a member; of a reporter, which is a member with its process
+MAX_NAME_LENGTH = 200  # characters in the name of a member or a reporter (a member and its process)
 MAX_CAUSE_LENGTH = 40
 MAX_PROCESS_LENGTH = 64
 MAX_SLICE_NUMBER = 1e12
@@ -229,8 +229,8 @@
     """Units requested and drawn at one gateway in one slice of the group's time.  Sent as an array."""
 
     number: int  # the group's time divided by SLICE_MS
-    requested_units: float  # units
-    drawn_units: float  # units
+    requested_units: float
+    drawn_units: float
 
 
 class ReportUsage(TenantCommand, frozen=True, kw_only=True, tag="Used"):
--- a/badgeryoke/cluster/reservations/contract.py
+++ b/badgeryoke/cluster/reservations/contract.py
@@ -67,7 +67,7 @@
     (ContractState.BREACHED, ContractEvent.RECOVER): ContractState.ACTIVE,
     (ContractState.BREACHED, ContractEvent.END): ContractState.CLOSING,
     (ContractState.BREACHED, ContractEvent.CANCEL): ContractState.CLOSING,
-    # Late reports.
+    # Shortfalls may be reported late.
     (ContractState.CLOSING, ContractEvent.SHORTFALL): ContractState.CLOSING,
     (ContractState.CLOSING, ContractEvent.NEXT_WINDOW): ContractState.ADMITTED,
     (ContractState.CLOSING, ContractEvent.SETTLE): ContractState.SETTLED,
--- a/badgeryoke/cluster/reservations/contract_lease.py
+++ b/badgeryoke/cluster/reservations/contract_lease.py
@@ -27,9 +27,10 @@
 
 TOLERANCE_FRACTION = 0.1  # differences below this fraction of a rate are ignored
 FIRST_PAUSE_MS = 10.0  # the shortest pause between two requests for a lease
-PACING_ALLOWANCE_MS = 30.0  # of the contract's rate: what may be drawn at once while draws are paced
-MAX_QUEUE_MS = 200.0  # of the contract's rate: how much may wait while the lease has its fair share
-MAX_WAITING = 1024  # requests per contract
+# Units that may be drawn at once while draws are paced, as time at the contract's rate.
+PACING_ALLOWANCE_MS = 30.0
+MAX_QUEUE_MS = 200.0  # units that may wait while the lease has its fair share, as time at the contract's rate
+MAX_WAITING = 1024  # waiting requests per contract
 
 
 class CustomersFrom(NamedTuple):
@@ -45,7 +46,7 @@
     deadline_ms: float
     units: float
     token: Any  # opaque; returned to the caller
-    usage: SliceCount  # of the slice in which the request arrived
+    usage: SliceCount  # counts of the slice in which the request arrived
 
 
 @dataclass(slots=True)
@@ -58,15 +59,15 @@
     facts: ContractFacts
     customers: list[CustomersFrom]
     # The lease and its bucket
-    lease_number: int = 0  # 0: none
+    lease_number: int = 0  # 0: no lease
     share: float = 0.0
-    depth: float = 0.0  # of the bucket, units
+    depth: float = 0.0  # depth of the bucket, units
     level: float = 0.0  # units in the bucket
     filled_ms: float = 0.0  # when `level` was last updated
     expires_ms: float = -math.inf
     window_start_ms: float = 0.0  # Unix ms; the share fills the bucket from then on
-    share_change_ms: float = 0.0  # Unix ms: when the share changes without a request; inf: it has changed
-    later_fraction: float = 0.0  # of the share, from `share_change_ms` on
+    share_change_ms: float = 0.0  # Unix ms: when the share changes without a request; inf: already changed
+    later_fraction: float = 0.0  # fraction of the share that remains from `share_change_ms` on
     # The group's last answer
     fair_share: float = 0.0
     fair_share_moved_ms: float = -math.inf  # when it last changed, because traffic moves here or away
@@ -75,7 +76,7 @@
     fair_depth: float = 0.0
     holders: int = 0
     # Requests for the lease
-    wanted_rate: float = 0.0  # of the last request
+    wanted_rate: float = 0.0  # rate that the last lease request wanted
     draws_per_request: bool = True  # requests are so rare that units are drawn for each, without a share
     pending: RequestLease | None = None
     requested_ms: float = 0.0  # when `pending` was made first
@@ -83,16 +84,16 @@
     sent_ms: float = -math.inf
     rejections: int = 0  # consecutive requests that were rejected because the lease had expired
     pause_ms: float = FIRST_PAUSE_MS
-    last_call_ms: float = 0.0  # of the last answered call
+    last_call_ms: float = 0.0  # duration of the last answered call
     # Requests of customers
     waiting: deque[WaitingRequest] = field(default_factory=deque)
     demand: DemandEstimate = field(default_factory=DemandEstimate)
     paced_until_ms: float = -math.inf
-    drawn_units: float = 0.0  # in all
+    drawn_units: float = 0.0  # total units drawn
     # Reports
     usage: UsageSlices = field(default_factory=UsageSlices)
     clock: GroupClock = field(default_factory=GroupClock)
-    shortfalls: dict[str, float] = field(default_factory=dict)  # units by cause, in all
+    shortfalls: dict[str, float] = field(default_factory=dict)  # total units by cause
     confirmed_shortfalls: dict[str, float] = field(default_factory=dict)
     shortfalls_since: dict[str, float] = field(default_factory=dict)  # Unix ms, by cause
     next_usage_report_ms: float = 0.0
@@ -140,7 +141,7 @@
         share_before = self.share
         if wall >= self.share_change_ms and self.share_change_ms < math.inf:
             self.share, self.depth = self.share * self.later_fraction, self.depth * self.later_fraction
-            self.share_change_ms = math.inf  # it has changed; the next share is requested immediately
+            self.share_change_ms = math.inf  # the share has changed; the next one is requested immediately
         gained = (share_before * (change_ms - start_ms) + self.share * (end_ms - change_ms)) / 1000.0
         self.level = min(self.level + max(gained, 0.0), self.depth)
         self.filled_ms = now
@@ -172,8 +173,8 @@
 
     def lacks_share(self, wanted_rate: float) -> bool:
         """Whether the share is below both the fair share and the wanted rate."""
-        due = min(self.fair_share, wanted_rate) * (1.0 - TOLERANCE_FRACTION) - EPSILON
-        return not self.draws_per_request and self.share < due
+        min_share = min(self.fair_share, wanted_rate) * (1.0 - TOLERANCE_FRACTION) - EPSILON
+        return not self.draws_per_request and self.share < min_share
 
     # Requests of customers
     # ------------------------------------------------------------------------------------
@@ -253,8 +254,8 @@
         """Apply the answer to the pending request."""
         self.pending, self.retry_ms = None, math.inf
         self.lease_number, self.rejections = answer.lease_number, 0
-        moved = abs(answer.fair_share - self.fair_share)
-        if moved > TOLERANCE_FRACTION * self.contract_rate(wall):
+        fair_share_change = abs(answer.fair_share - self.fair_share)
+        if fair_share_change > TOLERANCE_FRACTION * self.contract_rate(wall):
             self.fair_share_moved_ms = now
         self.fair_share, self.max_share = answer.fair_share, answer.max_share
         self.fair_depth, self.others_deficit = answer.fair_depth, answer.others_deficit
--- a/badgeryoke/cluster/reservations/demand_estimate.py
+++ b/badgeryoke/cluster/reservations/demand_estimate.py
@@ -15,7 +15,7 @@
 
 from badgeryoke.cluster.leases.lease import EPSILON
 
-FAST_AVERAGE_MS, SLOW_AVERAGE_MS = 150.0, 1000.0  # time constants
+FAST_AVERAGE_MS, SLOW_AVERAGE_MS = 150.0, 1000.0  # time constants of the two averages
 MIN_AVERAGE_MS = 40.0  # the shortest time that an average covers
 MIN_REQUESTS = 2  # a rate cannot be estimated from a single request
 CHANGE_DEVIATIONS = 3.0  # a larger difference of the averages, in standard deviations, is a change of demand
@@ -24,7 +24,7 @@
 # Mean gaps without a request after which the estimate restarts, if that is longer than IDLE_MS.
 RESTART_GAPS = 4.0
 QUIET_GAPS = 3.0  # mean gaps without a request after which the traffic may have moved
-STOPPED_GAPS = 6.0  # mean gaps without a request after which it has stopped
+STOPPED_GAPS = 6.0  # mean gaps without a request after which the traffic has stopped
 # Bounds of the time without a request after which traffic counts as quiet or stopped.  The lower one is for
 # `is_quiet` and twice as long for `has_stopped`.
 MIN_GAP_MS, MAX_GAP_MS = 25.0, 1000.0
@@ -40,10 +40,10 @@
     slow_requests: float = 0.0
     decayed_ms: float = 0.0  # when the sums were last decayed
     started_ms: float = 0.0  # when the estimate last restarted
-    last_ms: float = -math.inf  # of the last request
-    requests: int = 0  # since `started_ms`
-    largest_request: float = 0.0  # units, recently; a bucket has to hold that many
-    mean_gap_ms: float = 0.0  # between requests, as of the last request
+    last_ms: float = -math.inf  # time of the last request
+    requests: int = 0  # number of requests since `started_ms`
+    largest_request: float = 0.0  # units of the recent largest request, which a bucket has to hold
+    mean_gap_ms: float = 0.0  # mean time between requests, as of the last request
 
     def record(self, now: float, units: float) -> None:
         """Count one request."""
--- a/badgeryoke/cluster/reservations/guaranteed_rate.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rate.py
@@ -16,9 +16,9 @@
 from badgeryoke.cluster.reservations.settlement import UsageTally
 from badgeryoke.cluster.reservations.terms import Interval
 
-# Processes whose sequence numbers are kept; no call stays in flight over that many restarts.
+# Processes of a holder whose sequence numbers are kept; no call stays in flight over that many restarts.
 MAX_PROCESSES_PER_HOLDER = 4
-ROUNDING_TOLERANCE = 1e-6  # units a second, in comparisons of sums over leases
+ROUNDING_TOLERANCE = 1e-6  # tolerance in comparisons of sums over leases, units a second
 
 
 class AnsweredRequest(NamedTuple):
@@ -97,8 +97,8 @@
         if pending is None or pending.effective_from_ms >= interval.end_ms:
             return ShareChange(interval.end_ms, 0.0)
         at_ms = pending.effective_from_ms
-        holds = any(start_ms <= at_ms < end_ms for start_ms, end_ms in pending.intervals)
-        return ShareChange(at_ms, min(pending.rate / self.rate, 1.0) if holds else 0.0)
+        in_force = any(start_ms <= at_ms < end_ms for start_ms, end_ms in pending.intervals)
+        return ShareChange(at_ms, min(pending.rate / self.rate, 1.0) if in_force else 0.0)
 
     def lease_answer(self, at_ms: float, interval: Interval | None, grant: LeaseGrant) -> LeaseAnswer:
         """The answer to a granted lease request.  `interval`: the interval that the lease is for."""
--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -46,11 +46,11 @@
     def __init__(self, timings: Timings, rules: Invariants) -> None:
         self._timings, self._rules = timings, rules
         self.contracts: dict[str, GuaranteedRate] = {}
-        # Over all contracts, so that the numbers of a reopened contract do not start at 1 again.
+        # The last number over all contracts, so that the numbers of a reopened contract do not start at 1 again.
         self.last_lease_number = 0
         self._drained_retries = RetrySchedule()
         self._shortfall_retries = RetrySchedule()
-        self._unseen: set[str] = set()  # contracts with leases that `seen` has not marked yet
+        self._unseen: set[str] = set()  # contracts with leases that `record_applied` has not marked as seen
 
     # Commands
     # ------------------------------------------------------------------------------------
@@ -112,14 +112,14 @@
         if contract.pending is not None and at_ms >= contract.pending.effective_from_ms:
             self._switch_to(contract, contract.pending)
 
-    def _switch_to(self, contract: GuaranteedRate, opened: OpenContract) -> None:
+    def _switch_to(self, contract: GuaranteedRate, command: OpenContract) -> None:
         is_first_version = contract.version == 0
-        contract.version, contract.rate = opened.version, opened.rate
-        contract.intervals, contract.tenant = list(opened.intervals), opened.tenant
-        contract.pool.resize(opened.rate if opened.intervals else 0.0, opened.burst)
+        contract.version, contract.rate = command.version, command.rate
+        contract.intervals, contract.tenant = list(command.intervals), command.tenant
+        contract.pool.resize(command.rate if command.intervals else 0.0, command.burst)
         if is_first_version:
-            contract.pool.free_units = opened.burst
-        if contract.pending is not None and contract.pending.version <= opened.version:
+            contract.pool.free_units = command.burst
+        if contract.pending is not None and contract.pending.version <= command.version:
             contract.pending = None
         contract.last_older_lease_number = self.last_lease_number
 
--- a/badgeryoke/cluster/reservations/lease_client.py
+++ b/badgeryoke/cluster/reservations/lease_client.py
@@ -36,15 +36,15 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 from badgeryoke.cluster.timings import Timings
 
-POLL_MS = 1000.0  # between two polls for contracts
+POLL_MS = 1000.0  # interval between two polls for contracts
 POLL_MS_PER_GATEWAY = 10.0  # minimum poll period per gateway, which matters in large clusters
 # Time without an answer after which the same call is sent again; calls are idempotent.
 RESEND_AFTER_MS = 300.0
 FIRST_RETRY_MS = 50.0  # pause after a call without a known outcome; doubled up to MAX_RETRY_MS
 MAX_RETRY_MS = 400.0
 MAX_RETRY_DOUBLINGS = 8
-SHORTFALL_REPORT_MS = 1000.0  # between two reports of a contract's shortfalls
-USAGE_REPORT_MS = 500.0  # between two reports of a contract's usage
+SHORTFALL_REPORT_MS = 1000.0  # interval between two reports of a contract's shortfalls
+USAGE_REPORT_MS = 500.0  # interval between two reports of a contract's usage
 FLEET_KEY = ""  # the key of commands to the cluster's own group
 
 
@@ -76,7 +76,7 @@
         self.poll_ms = max(POLL_MS, POLL_MS_PER_GATEWAY * gateways)
         self._table = LeaseTable(zone)
         self._revision, self._polled_ms = -1, -math.inf
-        self._in_flight: dict[str, Command] = {}  # by lane; each lane has one call at a time
+        self._in_flight: dict[str, Command] = {}  # the call in flight in each lane (see `_lane`)
         self._calls_made = 0
         self._wall_offset_ms = 0.0  # wall clock minus monotonic clock
         self.due = math.inf  # when the next call is due, if that is before the next regular `poll`
@@ -246,7 +246,7 @@
             case LeaseExpired() | InvalidCall():
                 doublings = min(lease.rejections + 1, MAX_RETRY_DOUBLINGS)
                 lease.mark_expired(now, min(FIRST_RETRY_MS * 2.0**doublings, MAX_RETRY_MS))
-            case NotFound():  # not open there yet, or no longer open
+            case NotFound():  # the group has not opened the contract yet, or no longer has it
                 lease.pending, lease.retry_ms = None, math.inf
                 lease.sent_ms, lease.pause_ms = now, MAX_RETRY_MS
             case _:  # the call may have been applied: only repeating it shows the outcome
--- a/badgeryoke/cluster/reservations/lease_renewal.py
+++ b/badgeryoke/cluster/reservations/lease_renewal.py
@@ -27,20 +27,22 @@
 )
 from badgeryoke.cluster.reservations.demand_estimate import IDLE_MS
 
-SHARED_RENEWAL_MS = 120.0  # between two renewals of a share in use, or lent, while there are other holders
-UNSHARED_RENEWALS_PER_LEASE = 3.0  # for a sole holder, or a lease that is not in use
-MAX_DEFICIT_PAUSE_MS = 20.0  # between two requests while the share is below the fair share
-MAX_WAITING_PAUSE_MS = 40.0  # between two requests while customers' requests wait
+# Interval between renewals of a share in use, or lent, while there are other holders.
+SHARED_RENEWAL_MS = 120.0
+UNSHARED_RENEWALS_PER_LEASE = 3.0  # renewals by a sole holder, or of a lease that is not in use
+MAX_DEFICIT_PAUSE_MS = 20.0  # longest pause between two requests while the share is below the fair share
+MAX_WAITING_PAUSE_MS = 40.0  # longest pause between two requests while customers' requests wait
 PAUSE_GROWTH_FACTOR = 1.5
 MAX_DRAW_CALL_MS = 100.0  # with slower calls, units for a waiting request would arrive too late
 MIN_DRAW_GAP_MS = 50.0  # mean gap between requests above which units are drawn per request
 MIN_SHARE_REQUESTS = 3  # with fewer requests so far, units are drawn per request
-INCREASE_FRACTION = 0.7  # a last requested rate below this fraction of the wanted one makes a request urgent
+# A request is urgent if the last requested rate is below this fraction of the wanted one.
+INCREASE_FRACTION = 0.7
 STEADY_FACTOR = 2.0  # a larger change of the wanted rate resets the pause to the shortest one
 # How long renewals stay urgent after the last request, while the traffic may have moved to another gateway, and
 # after a change of the fair share.
 MOVE_WATCH_MS = 250.0
-BUSY_BUCKET_FRACTION = 0.3  # of the depth of a bucket in use; units above are returned for other holders
+BUSY_BUCKET_FRACTION = 0.3  # fraction of the depth of a bucket in use above which units are returned
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +90,7 @@
     in_use = max(lease.share, wanted_rate, lease.fair_share) > EPSILON
     period_ms = SHARED_RENEWAL_MS if shared and in_use else lease_ms / UNSHARED_RENEWALS_PER_LEASE
     idle = silence_ms >= IDLE_MS
-    # Rate that no holder is short of stays where it was last used; it is spread evenly once the tenant is idle.
+    # Surplus rate stays with the holder that last used it, and is spread evenly once the tenant is idle.
     increase = max(wanted_rate - lease.wanted_rate, 0.0)
     kept_rate = lease.fair_share if idle else lease.share - max(excess, 0.0) + increase
     return Renewal(
--- a/badgeryoke/cluster/reservations/lease_table.py
+++ b/badgeryoke/cluster/reservations/lease_table.py
@@ -7,7 +7,7 @@
 from badgeryoke.cluster.reservations.answers import ContractFacts
 from badgeryoke.cluster.reservations.contract_lease import ContractLease, CustomersFrom
 
-# How long after its lease expired a settled contract is kept for its last reports.
+# How long a settled contract is kept for its last reports after its lease has expired.
 SETTLED_RETENTION_MS = 60_000.0
 
 
@@ -36,7 +36,7 @@
                 for version in facts.versions
             ]
         for name, lease in self.by_contract.items():
-            # Settled: the lease expires, and unreported usage and shortfalls are reported first.
+            # A settled contract is kept for a time while it has unreported usage or shortfalls.
             unreported = lease.usage.slices or lease.shortfalls != lease.confirmed_shortfalls
             if name not in leases and unreported and now < lease.expires_ms + SETTLED_RETENTION_MS:
                 leases[name] = lease
--- a/badgeryoke/cluster/reservations/priority_shedding.py
+++ b/badgeryoke/cluster/reservations/priority_shedding.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-MAX_BURST_MS = 250.0  # of a contract's rate: how much may be sent at once
+MAX_BURST_MS = 250.0  # largest burst of a contract, as time at its rate
 MIN_BURST = 1.0  # units
 UNRESERVED = ""  # the key, in place of a contract's name, of all requests without a contract
 
--- a/badgeryoke/cluster/reservations/reserved_capacity.py
+++ b/badgeryoke/cluster/reservations/reserved_capacity.py
@@ -23,8 +23,8 @@
 from badgeryoke.cluster.reservations.terms import ContractTerms
 from badgeryoke.cluster.timings import Timings
 
-ROUNDING_TOLERANCE = 1e-6  # units a second, in comparisons of sums over contracts
-WHOLE_CLUSTER = ""  # in place of a zone's name
+ROUNDING_TOLERANCE = 1e-6  # tolerance in comparisons of sums over contracts, units a second
+WHOLE_CLUSTER = ""  # stands in place of a zone's name for the whole cluster
 
 
 class ReservedCapacity:
@@ -73,7 +73,7 @@
         reserved: list[ReservedInterval],
         terms: ContractTerms,
     ) -> InsufficientCapacity | None:
-        """Why a contract does not fit with all others, or None.  `reserved`: all that it would reserve."""
+        """Why a contract does not fit with all others, or None.  `reserved`: the intervals that it would reserve."""
         contracts = list(contracts)
         limits = [
             CapacityLimit(self.profile(contracts, zone, without=name), self.available(zone))
--- a/badgeryoke/cluster/reservations/settlement.py
+++ b/badgeryoke/cluster/reservations/settlement.py
@@ -17,9 +17,9 @@
 
 SLICE_MS = 5.0  # length of a slice, for which a gateway counts usage in one sum
 SLICES_PER_BIN = 50  # slices that are merged where they are kept for long
-MAX_OPEN_SLICES = 20_000  # reported and not settled; above that the older half is settled early
-SETTLEMENT_DELAY_SLICES = 400  # 2 s behind the group's time, for reports in flight
-MAX_SLICES_AHEAD = 400  # 2 s ahead of the group's time, for gateways whose clock is ahead
+MAX_OPEN_SLICES = 20_000  # slices reported and not settled; above that the older half is settled early
+SETTLEMENT_DELAY_SLICES = 400  # slices are settled 2 s late, to wait for reports in flight
+MAX_SLICES_AHEAD = 400  # slices up to 2 s ahead are accepted, for gateways whose clock is ahead
 RETAINED_SLICES = 120_000  # 10 min; late reports of a partitioned gateway are counted up to this age
 BUSY_PERIOD_GAP_MS = 500.0  # time without a request that ends a busy period; units undrawn by then are lost
 MAX_WAIT_MS = 300.0  # how long a request may wait for units at a gateway
@@ -40,9 +40,9 @@
 
     # Reported and not settled yet: slice -> reporter -> usage.
     open_slices: dict[int, dict[str, SliceUsage]] = field(default_factory=dict)
-    due_by_bin: dict[int, float] = field(default_factory=dict)  # of settled slices
+    due_by_bin: dict[int, float] = field(default_factory=dict)  # due units of settled slices, by bin
     bucket_level: float = -1.0  # below 0: nothing is settled yet, and the bucket is full
-    last_slice: int = 0  # the last one settled with usage
+    last_slice: int = 0  # the last settled slice with usage
     undrawn: float = 0.0  # due minus drawn units of this busy period
     written_off: float = 0.0  # the part of `undrawn` already counted in `shortfall`
     shortfall: float = 0.0
--- a/badgeryoke/cluster/reservations/terms.py
+++ b/badgeryoke/cluster/reservations/terms.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-MAX_CUSTOMERS = 1000  # per contract
-MAX_INTERVALS_PER_CONTRACT = 512  # after its windows are expanded
+MAX_CUSTOMERS = 1000  # customers per contract
+MAX_INTERVALS_PER_CONTRACT = 512  # intervals after a contract's windows are expanded
 MAX_CONTRACT_LENGTH_MS = 366 * 24 * 3_600_000.0  # from the first window's start to the last one's end
 MAX_RATE = 1e9  # units a second; also the largest burst, in units
 MAX_COUNTER = 1 << 53  # exclusive; larger integers do not survive every JSON reader
@@ -71,7 +71,7 @@
     rate: float  # units a second
     burst: float  # units
     windows: tuple[Window, ...]
-    zone: str = msgspec.field(default="", name="hall")  # empty: any
+    zone: str = msgspec.field(default="", name="hall")  # empty: any zone
     surplus: bool = True
     rank: int = 1
 
--- a/badgeryoke/cluster/reservations/usage_slices.py
+++ b/badgeryoke/cluster/reservations/usage_slices.py
@@ -13,10 +13,10 @@
 from badgeryoke.cluster.reservations.commands import MAX_SLICES_PER_REPORT, UsageSlice
 from badgeryoke.cluster.reservations.settlement import MAX_WAIT_MS, SLICE_MS, SLICES_PER_BIN
 
-MAX_SLICES = 2400  # unconfirmed; above that older slices are merged, which covers ten minutes
-MAX_SLICES_AFTER_MERGE = MAX_SLICES * 3 // 4  # merged slices; older ones are dropped
-MAX_DRAW_DELAY_MS = 100.0  # after MAX_WAIT_MS; a slice that is older than both cannot change any more
-STAMP_FRACTION = 0.25  # of a call's duration that has passed when the group's leader stamps it
+MAX_SLICES = 2400  # unconfirmed slices; above that older ones are merged, so that ten minutes fit
+MAX_SLICES_AFTER_MERGE = MAX_SLICES * 3 // 4  # merged slices that are kept; older ones are dropped
+MAX_DRAW_DELAY_MS = 100.0  # delay of a draw after MAX_WAIT_MS; a slice older than both cannot change any more
+STAMP_FRACTION = 0.25  # fraction of a call's duration that has passed when the leader stamps the answer
 
 
 @dataclass(slots=True)
