--- a/badgeryoke/cluster/connection_limits/lease_timing.py
+++ b/badgeryoke/cluster/connection_limits/lease_timing.py
@@ -11,7 +11,8 @@
 
 LEASE_MULTIPLE = 5.0  # duration as a multiple of that of a rate lease
 RENEWALS_PER_LEASE = 3.0
-CLOSE_BEFORE_EXPIRY_MS = 300.0  # nothing is opened from then on, and all connections are being closed
+# This long before the expiry no connection may be opened, and all are being closed.
+CLOSE_BEFORE_EXPIRY_MS = 300.0
 
 
 def connection_lease_ms(timings: Timings) -> float:
--- a/badgeryoke/cluster/connection_limits/limits.py
+++ b/badgeryoke/cluster/connection_limits/limits.py
@@ -32,7 +32,7 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command, LeaderView
 from badgeryoke.cluster.timings import Timings
 
-MAX_SERVERS = 4096  # in one group; further limits are rejected
+MAX_SERVERS = 4096  # servers with a limit in one group; further ones are rejected
 MAX_RELEASES_PER_HEARTBEAT = 64  # commands proposed by the leader; the others follow at the next heartbeat
 
 
@@ -89,10 +89,10 @@
             return ApplyResult(error=NotFound(command.server, "no limit of that server is known"))
         limit.pool.resize(0.0, 0.0)
         limit.removed = True
-        self._forget_if_unused(command.server)
+        self._delete_if_unused(command.server)
         return ApplyResult({"granted": int(limit.pool.granted())})
 
-    def _forget_if_unused(self, server: str) -> None:
+    def _delete_if_unused(self, server: str) -> None:
         if self.servers[server].removed and not self.servers[server].pool.leases:
             del self.servers[server]
 
@@ -124,13 +124,12 @@
         grant = pool.request(
             LeaseRequest(holder, request.lease_number, request.keep, request.wanted, 0.0), self._invariants
         )
-        if not isinstance(
-            grant, LeaseGrant
-        ):  # the request keeps more than its lease has, or names an expired one
+        # Without a grant, the request keeps more than its lease has, or names an expired lease.
+        if not isinstance(grant, LeaseGrant):
             return ConnectionLease(request.server, LeaseRefusal.LEASE_EXPIRED)
         share = pool.leases.get(holder)
         if share is None:
-            self._forget_if_unused(request.server)
+            self._delete_if_unused(request.server)
             return ConnectionLease(request.server, 0, spare=max(int(grant.slack), 0))
         target = self._grow_to_target(holder, request, pool, share, grant.fair_share)
         self._check_grant(request.server, pool, share, granted_before)
@@ -149,8 +148,8 @@
 
         A fair share below 1, such as 0.12, is rounded up to one connection, granted in the order of requests;
         otherwise no holder would get any.  Connections left over from rounding shares down are not granted while
-        another holder has less than its rounded-down share; otherwise they would circulate among holders that have
-        theirs already."""
+        another holder has less than its rounded-down share; otherwise they would circulate among holders that
+        already have theirs."""
         whole_share = int(fair_share + EPSILON)
         others_short = any(
             other.share + EPSILON < min(other.wanted, whole_share)
@@ -163,9 +162,8 @@
             pool.grow(holder, 1.0)
             granted += 1.0
         if pool.target - granted >= 1.0 - EPSILON and not others_short:
-            target = max(
-                target, int(share.share)
-            )  # no holder is below its share: idle connections may stay open
+            # No holder is below its share, so idle connections may stay open.
+            target = max(target, int(share.share))
         return target
 
     def _check_grant(self, server: str, pool: LeasePool, share: LeaseShare, granted_before: float) -> None:
@@ -190,7 +188,7 @@
             limit = self.servers.get(lease.server)
             if limit is not None and limit.pool.release(command.holder, lease.lease_number):
                 released += 1
-                self._forget_if_unused(lease.server)
+                self._delete_if_unused(lease.server)
         return ApplyResult({"ended": released})
 
     def lease_duration_ms(self) -> float:
--- a/badgeryoke/cluster/connection_limits/server_connections.py
+++ b/badgeryoke/cluster/connection_limits/server_connections.py
@@ -7,7 +7,8 @@
 
 from badgeryoke.cluster.state_machine_part import Command
 
-MIN_REQUEST_INTERVAL_MS = 200.0  # between two requests for more; doubled while less than wanted is granted
+# Interval between two requests for more; doubled while less than wanted is granted.
+MIN_REQUEST_INTERVAL_MS = 200.0
 MAX_RETRY_DOUBLINGS = 8
 
 
@@ -15,14 +16,14 @@
 class ServerConnections:
     """One server's connections and lease at this gateway.  Times are by the holder's clock."""
 
-    open: int = 0  # from the start of the connect until the server is known to have closed it
-    closing: int = 0  # those of the open ones that are being closed
+    open: int = 0  # connections between the start of the connect and the known close by the server
+    closing: int = 0  # open connections that are being closed
     need: int = 0
     peak: int = 0  # highest need between the last two requests
     current_peak: int = 0  # highest need since the last request
     lease_number: int = 0  # 0: no lease
     granted: int = 0
-    max_open: int = 0  # valid until the lease expires
+    max_open: int = 0  # how many may be open, until the lease expires
     lease_expires_ms: float = -math.inf
     requested_at_ms: float = -math.inf
     backoff_ms: float = MIN_REQUEST_INTERVAL_MS
