--- a/badgeryoke/cluster/rolling_restart/gateway_agent.py
+++ b/badgeryoke/cluster/rolling_restart/gateway_agent.py
@@ -1,7 +1,7 @@
 """The gateway's side of a rolling restart: it reads its assignment, acts on it, and reports its progress.
 
 The agent compares the desired state (its assignment) with the observed state of its gateway instead of executing
-single orders: a gateway whose phase does not require a drain serves.  So a lost message leaves no gateway half
+single commands: a gateway whose phase does not require a drain serves.  So a lost message leaves no gateway half
 drained.
 """
 
@@ -24,7 +24,7 @@
 )
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 
-# A gateway neither drains nor stops on an older assignment: its process was frozen, or cut off from the cluster.
+# A gateway does not drain or stop on an older assignment, as its process may have been frozen or cut off.
 MAX_ASSIGNMENT_AGE_MS = 1000.0
 
 # the report that a gateway sends once it has done what its phase requires
@@ -56,7 +56,8 @@
     gateway: str  # the member's name
     process: MemberId  # holder id of this process; each start of the gateway has its own
     member_count: int = 1  # members of the cluster
-    on_phase_change: Callable[[], None] | None = None  # so that the caller acts immediately
+    # Called after a change, so that the caller acts immediately.
+    on_phase_change: Callable[[], None] | None = None
     paused: bool = False  # drained by a rolling restart, not by an operator
     leaving: bool = False
     assignment: GatewayAssignment | None = None  # None: not read yet, or the restart no longer exists
--- a/badgeryoke/cluster/rolling_restart/observation.py
+++ b/badgeryoke/cluster/rolling_restart/observation.py
@@ -16,8 +16,8 @@
 ) -> ClusterConditions:
     """What would remain without the wave and the gateways that are unavailable already.
 
-    `ending`: the gateway whose process would end now.  Majorities are then counted without that one and those that
-    have ended; the other unavailable gateways still have their copies.
+    `ending`: the gateway whose process would end now.  Majorities are then counted without it and without gateways
+    whose processes have ended; the other unavailable gateways still have their copies.
     """
     unavailable = restart.gateways_in(*UNAVAILABLE_PHASES) | set(wave)
     # A drained gateway whose process has not ended still has its copies, unless a fault destroyed them.
--- a/badgeryoke/cluster/rolling_restart/plan.py
+++ b/badgeryoke/cluster/rolling_restart/plan.py
@@ -36,7 +36,7 @@
     phase: GatewayPhase = GatewayPhase.WAITING
     version: int = 0  # number of transitions; reports and the leader's events state the version they refer to
     since_ms: float = 0.0  # group's time, Unix ms, of the last transition
-    report: GatewayReport | None = None  # received in this phase
+    report: GatewayReport | None = None  # the report received in this phase
     process: str = ""  # holder id of the process that ran when the wave began
     drain_count: int = 0
 
@@ -74,7 +74,7 @@
     request: StartRollingRestart
     state: RestartState = RestartState.ASKED
     since_ms: float = 0.0  # group's time, Unix ms, of the last change of state
-    cause: str = ""  # of the present state, for operators
+    cause: str = ""  # why it is in its present state, for operators
     version: int = 0  # counts changes, also of the gateways; a leader's command states the one it is based on
     member_count: int = 1  # members of the cluster when it was planned
     gateways: dict[str, GatewayProgress] = field(default_factory=dict)  # in the order of the plan
--- a/badgeryoke/cluster/rolling_restart/scheduler.py
+++ b/badgeryoke/cluster/rolling_restart/scheduler.py
@@ -42,7 +42,7 @@
 
     restart: str
     kind: str
-    since_ms: float  # the leader's monotonic clock
+    since_ms: float  # when it appeared, by the leader's monotonic clock
 
 
 def _obstacle_kind(cause: str) -> str:
--- a/badgeryoke/cluster/rolling_restart/transitions.py
+++ b/badgeryoke/cluster/rolling_restart/transitions.py
@@ -44,7 +44,7 @@
     (RestartState.RUNNING, RestartEvent.BLOCKED): RestartState.PAUSED,
     (RestartState.RUNNING, RestartEvent.CANCEL): RestartState.CANCELLING,
     (RestartState.RUNNING, RestartEvent.FINISHED): RestartState.DONE,
-    (RestartState.PAUSED, RestartEvent.BLOCKED): RestartState.PAUSED,  # for another cause
+    (RestartState.PAUSED, RestartEvent.BLOCKED): RestartState.PAUSED,  # paused for another cause
     (RestartState.PAUSED, RestartEvent.MENDED): RestartState.RUNNING,
     (RestartState.PAUSED, RestartEvent.CANCEL): RestartState.CANCELLING,
     (RestartState.PAUSED, RestartEvent.FINISHED): RestartState.DONE,
@@ -92,7 +92,8 @@
     (GatewayPhase.GRANTING, GatewayEvent.ROOMY): GatewayPhase.PAUSING,
     (GatewayPhase.GRANTING, GatewayEvent.CANCEL): GatewayPhase.UNDONE,
     (GatewayPhase.PAUSING, GatewayEvent.PAUSED): GatewayPhase.EMPTYING,
-    (GatewayPhase.PAUSING, GatewayEvent.BACK): GatewayPhase.RETURNING,  # it crashed and was started again
+    # The gateway crashed and was started again.
+    (GatewayPhase.PAUSING, GatewayEvent.BACK): GatewayPhase.RETURNING,
     (GatewayPhase.PAUSING, GatewayEvent.CANCEL): GatewayPhase.UNDOING,
     (GatewayPhase.EMPTYING, GatewayEvent.ACT): GatewayPhase.ACTING,
     (GatewayPhase.EMPTYING, GatewayEvent.HOLD): GatewayPhase.HELD,
--- a/badgeryoke/cluster/rolling_restart/waves.py
+++ b/badgeryoke/cluster/rolling_restart/waves.py
@@ -189,8 +189,8 @@
         return ApplyResult(restart.summary())
 
     def _check_conditions(self, restart: RollingRestart, conditions: ClusterConditions | None) -> str:
-        """Why gateways may not be drained, empty if they may; a leader that proposes it all the same has broken an
-        invariant."""
+        """Why gateways may not be drained; empty if they may.  It is an invariant that no leader proposes a drain that
+        may not be made."""
         problem = conditions.validate() if conditions is not None else (Rule.WAVE_KEEPS_ROOM, "no facts")
         if problem is None:
             return ""
