--- a/badgeryoke/cluster/membership/failure_detector.py
+++ b/badgeryoke/cluster/membership/failure_detector.py
@@ -17,10 +17,10 @@
 INDIRECT_PING_PROXIES = 3  # members that are asked for an indirect ping (SWIM's k)
 MAX_OUTSTANDING_PINGS = 64  # tracked pings, and as many relayed ones; the oldest is dropped
 MAX_PING_WAIT_PERIODS = 4.0  # protocol periods that a ping over a slow link waits at most
-MAX_SUSPICION_MULTIPLE = 3.0  # times the minimum suspicion timeout, while no other member confirms it
-NACK_AFTER_FRACTION = 0.8  # of the ping timeout, after which a proxy without an Ack sends a Nack
-INDIRECT_PING_ROUND_TRIP_MULTIPLE = 1.5  # times the measured round trip, before proxies are asked
-FAILURE_ROUND_TRIP_MULTIPLE = 3  # times the measured round trip, before a ping fails
+MAX_SUSPICION_MULTIPLE = 3.0  # multiple of the minimum suspicion timeout while no other member confirms it
+NACK_AFTER_FRACTION = 0.8  # fraction of the ping timeout after which a proxy without an Ack sends a Nack
+INDIRECT_PING_ROUND_TRIP_MULTIPLE = 1.5  # multiple of the measured round trip after which proxies are asked
+FAILURE_ROUND_TRIP_MULTIPLE = 3  # multiple of the measured round trip after which a ping fails
 ROUND_TRIP_DECAY = 0.75  # factor on a member's recent maximum, at each Ack
 ROUND_TRIP_GAIN = 0.25  # weight of a new sample in the moving average over all members
 
@@ -46,7 +46,7 @@
     request_seq: int
     target: MemberId
     nack_at: float
-    forget_at: float
+    drop_at: float
 
 
 def suspicion_timeout_ms(confirmations: int, running_count: int, timings: Timings) -> float:
@@ -97,7 +97,7 @@
             self.next_period_at,
             min((min(ping.ask_proxies_at, ping.fails_at) for ping in unfinished), default=math.inf),
             min(
-                (min(relayed.nack_at, relayed.forget_at) for relayed in self._relayed.values()),
+                (min(relayed.nack_at, relayed.drop_at) for relayed in self._relayed.values()),
                 default=math.inf,
             ),
             min((self._dead_at(self._table[name]) for name in self._table.suspected_names), default=math.inf),
@@ -174,7 +174,7 @@
             request.seq,
             request.target,
             nack_at=now + NACK_AFTER_FRACTION * self._timings.probe_timeout_ms,
-            forget_at=now + MAX_PING_WAIT_PERIODS * self._timings.probe_ms,
+            drop_at=now + MAX_PING_WAIT_PERIODS * self._timings.probe_ms,
         )
         ping = Ping(seq, request.target, self._gossip.take_updates(target_name))
         effects.append(SendMessage(request.target, ping))
@@ -222,7 +222,7 @@
             self._round.append(ping.name)
 
     def _run_relay_timer(self, now: float, seq: int, relayed: _RelayedPing, effects: Effects) -> None:
-        if now >= relayed.forget_at:
+        if now >= relayed.drop_at:
             del self._relayed[seq]
         elif now >= relayed.nack_at:
             relayed.nack_at = math.inf
@@ -278,12 +278,12 @@
         return ping
 
     def _sample_alive(self, excluded_name: str, count: int) -> list[MemberRecord]:
-        found = [
+        candidates = [
             record
             for record in self._table
             if record.state == MemberState.ALIVE and record.is_known and record.name != excluded_name
         ]
-        return self._rng.sample(found, min(count, len(found)))
+        return self._rng.sample(candidates, min(count, len(candidates)))
 
     def _new_seq(self) -> int:
         self._last_seq += 1
@@ -291,6 +291,6 @@
 
 
 def _drop_oldest(table: dict[int, _OutstandingPing] | dict[int, _RelayedPing]) -> None:
-    """Make room for one more ping; a late Ack for a dropped ping is ignored."""
+    """Drop the oldest pings until one more fits; a late Ack for a dropped ping is ignored."""
     while len(table) >= MAX_OUTSTANDING_PINGS:
         del table[next(iter(table))]
--- a/badgeryoke/cluster/membership/member_table.py
+++ b/badgeryoke/cluster/membership/member_table.py
@@ -12,7 +12,7 @@
 from badgeryoke.cluster.messages import GossipUpdate, MemberId, member_name
 from badgeryoke.cluster.node_setup import Member
 
-LEFT_GRACE_MULTIPLE = 10.0  # times `repair_after_ms`: after so long a member that left counts as dead
+LEFT_GRACE_MULTIPLE = 10.0  # multiple of `repair_after_ms` after which a member that left counts as dead
 
 
 class MemberState(IntEnum):
@@ -58,7 +58,7 @@
     zone: str
     id: MemberId  # "name/" while the incarnation is unknown
     state: MemberState = MemberState.ALIVE
-    incarnation_number: int = 0  # SWIM's: only the member itself raises it, to refute a suspicion
+    incarnation_number: int = 0  # SWIM's number, which only the member itself raises, to refute a suspicion
     state_since_ms: float = 0.0
     suspected_by: dict[MemberId, None] = field(default_factory=dict)  # ids, in the order of their suspicions
     round_trip_ms: float = 0.0  # recent maximum, decaying with each Ack
--- a/badgeryoke/cluster/membership/protocol.py
+++ b/badgeryoke/cluster/membership/protocol.py
@@ -47,7 +47,7 @@
 from badgeryoke.cluster.node_setup import Member
 from badgeryoke.cluster.timings import Timings
 
-FREEZE_FRACTION = 0.5  # of the ping timeout; an event later than this after `due` counts as a freeze
+FREEZE_FRACTION = 0.5  # fraction of the ping timeout; an event that much later than `due` counts as a freeze
 
 
 class Membership:
--- a/badgeryoke/cluster/placement/commands.py
+++ b/badgeryoke/cluster/placement/commands.py
@@ -17,7 +17,7 @@
 
 
 class EnrolMember(Command, frozen=True, tag="Enrol"):
-    """Makes an id its name's current one; the id before it is lost for good."""
+    """Makes an id the current id of its name; the previous id is lost for good."""
 
     name: str
     who: MemberId
--- a/badgeryoke/cluster/placement/repair.py
+++ b/badgeryoke/cluster/placement/repair.py
@@ -22,7 +22,8 @@
 from badgeryoke.cluster.placement.state import EnrolledMember, GroupPlacement, PlacementState, ReplicaMove
 from badgeryoke.cluster.state_machine_part import FLEET, LeaderView
 
-MAX_MOVE_DURATION_MS = 60_000.0  # for a learner to catch up; a slow learner is not chosen again for as long
+# Time for a learner to catch up; a slow learner is not chosen again for as long.
+MAX_MOVE_DURATION_MS = 60_000.0
 MIN_REBALANCE_GAIN = 2  # difference in replicas; with a smaller one, a move would only reverse the difference
 
 
--- a/badgeryoke/cluster/raft/log_replication.py
+++ b/badgeryoke/cluster/raft/log_replication.py
@@ -12,10 +12,11 @@
 from badgeryoke.cluster.raft.persistence import Persistence
 from badgeryoke.cluster.raft.state_types import FollowerProgress, PendingRead, Role
 
-MAX_APPENDS_IN_FLIGHT = 4  # to one member; entries proposed meanwhile are batched into the next append
+# Appends in flight to one member; entries proposed meanwhile are batched into the next append.
+MAX_APPENDS_IN_FLIGHT = 4
 MAX_COMMAND_BYTES = 128 * 1024  # size of one proposal; a larger one is rejected
 MAX_APPEND_BYTES = 256 * 1024  # total size of the entries of one append; a single entry may be larger
-MIN_HEARTBEATS_PER_ELECTION_TIMEOUT = 3  # sent even by an idle leader
+MIN_HEARTBEATS_PER_ELECTION_TIMEOUT = 3  # heartbeats that even an idle leader sends
 
 
 class LogReplication(Persistence):
--- a/badgeryoke/cluster/raft/node.py
+++ b/badgeryoke/cluster/raft/node.py
@@ -150,8 +150,8 @@
     def _check_quorum(self, now_ms: float) -> None:
         """Step down if no majority has replied within `Timings.election_ms`.
 
-        This runs before each event: a process that was frozen must not continue as the leader, nor take messages
-        that were queued meanwhile for fresh replies.
+        This runs before each event: a process that was frozen must not continue as the leader, nor count
+        messages that were queued meanwhile as fresh replies.
         """
         if self.role is not Role.LEADER or now_ms <= self._quorum_until_ms:
             return
--- a/badgeryoke/cluster/raft/state.py
+++ b/badgeryoke/cluster/raft/state.py
@@ -176,9 +176,8 @@
 
     # Effects
 
-    def _complete(
-        self, token: str, result: Any
-    ) -> None:  # result: the state machine's own type, or a ClusterError
+    # `result` is of the state machine's own type, or a ClusterError.
+    def _complete(self, token: str, result: Any) -> None:
         self._effects.append(OperationCompleted(token, result))
 
     def _log_event(self, level: str, event: str, **fields: Any) -> None:  # see LogEvent.fields
--- a/badgeryoke/cluster/raft/state_types.py
+++ b/badgeryoke/cluster/raft/state_types.py
@@ -71,9 +71,8 @@
     in_flight: deque[int] = field(default_factory=deque)  # the last index of each unanswered append
     snapshot: Snapshot | None = None  # the snapshot that is being sent
     received_bytes: int = 0  # how much of that snapshot the member has received
-    entries_lost_round: float | None = (
-        None  # heartbeat round of the first rejection at or below `match_index`
-    )
+    # Heartbeat round of the first rejection at or below `match_index`.
+    entries_lost_round: float | None = None
 
     def probe_from(self, next_index: int) -> None:
         """Start probing again, from an index on."""
--- a/badgeryoke/cluster/state_machine/command_registry.py
+++ b/badgeryoke/cluster/state_machine/command_registry.py
@@ -101,12 +101,12 @@
 
 def parse_command(name: str, fields: dict[str, Any]) -> Command | InvalidCall:
     """Build and validate a command from an operator's call, with its fields as parsed from JSON."""
-    kind = REGISTRY.commands.get(name)
-    if kind is None:
+    command_type = REGISTRY.commands.get(name)
+    if command_type is None:
         known = ", ".join(sorted(REGISTRY.commands))
         return InvalidCall(name[:MAX_QUOTED_NAME_LENGTH], f"unknown; known are {known}")
     try:
-        command = msgspec.convert(fields, kind)
+        command = msgspec.convert(fields, command_type)
     except msgspec.ValidationError as fault:
         return InvalidCall(name, str(fault).replace("`", ""))
     problem = command.validate()
