--- a/badgeryoke/cluster/bootstrap.py
+++ b/badgeryoke/cluster/bootstrap.py
@@ -47,7 +47,7 @@
 )
 from badgeryoke.cluster.node_setup import BOOTSTRAP_GROUP, NodeSetup
 
-MIN_QUERY_INTERVAL_MS = 200.0  # between the first rounds of queries
+MIN_QUERY_INTERVAL_MS = 200.0  # initial interval between two rounds of queries
 MAX_QUERY_INTERVAL_MS = 2000.0
 QUERY_BACKOFF_FACTOR = 1.5  # multiplies the interval after each round
 MIN_QUERY_JITTER, QUERY_JITTER_SPAN = 0.75, 0.5  # the interval is multiplied by 0.75 to 1.25
@@ -78,10 +78,10 @@
     `due`: when the next Tick is needed at the latest (ms, clock of `now`); infinite once the record is stored.
     """
 
-    def __init__(self, setup: NodeSetup, saved: PersistedGroup, draw: Random, now: float) -> None:
+    def __init__(self, setup: NodeSetup, saved: PersistedGroup, rng: Random, now: float) -> None:
         self.record: BootstrapRecord | None = None  # set once it is stored
         self.error: ClusterError | None = None  # set if the bootstrap failed for good
-        self._setup, self._draw = setup, draw
+        self._setup, self._rng = setup, rng
         self._zones = {member.name: member.zone for member in setup.members}
         self._zone = self._zones.get(setup.member_name, "")
         self._others = sorted(name for name in self._zones if name != setup.member_name)
@@ -95,7 +95,7 @@
         self._unstored_promises: dict[int, MemberId] = {}
         self._pending: _PendingRecord | None = None
         self._last_seq, self._query_interval_ms = 0, MIN_QUERY_INTERVAL_MS
-        self.due = now + draw.random() * MIN_QUERY_INTERVAL_MS
+        self.due = now + rng.random() * MIN_QUERY_INTERVAL_MS
         if saved.snapshot is not None:
             self._restore(saved.snapshot.body)
 
@@ -138,13 +138,13 @@
     def _begin_round(self, now: float, effects: Effects) -> None:
         """Create the record if this is the creator and all others have answered; otherwise query the others."""
         self._query_interval_ms = min(self._query_interval_ms * QUERY_BACKOFF_FACTOR, MAX_QUERY_INTERVAL_MS)
-        jitter = MIN_QUERY_JITTER + QUERY_JITTER_SPAN * self._draw.random()
+        jitter = MIN_QUERY_JITTER + QUERY_JITTER_SPAN * self._rng.random()
         self.due = now + self._query_interval_ms * jitter
         if self.error is not None or self._pending is not None:
             return
         if self._setup.member_name != self._creator_name:
             others = [name for name in self._others if name != self._creator_name]
-            sample = self._draw.sample(others, min(MAX_OTHERS_QUERIED, len(others)))
+            sample = self._rng.sample(others, min(MAX_OTHERS_QUERIED, len(others)))
             queried = [self._creator_name, *sample]
         elif self._all_answered(now):
             self._persist_record(self._make_record(), effects)
@@ -163,7 +163,7 @@
         ids[self._setup.member_name] = self._setup.member_id
         return BootstrapRecord(
             self._setup.cluster_name,
-            f"{self._draw.getrandbits(BOOTSTRAP_ID_BITS):016x}",
+            f"{self._rng.getrandbits(BOOTSTRAP_ID_BITS):016x}",
             self._setup.member_id,
             tuple((ids[name], self._zones[name]) for name in sorted(ids)),
             self._setup.group_count,
@@ -180,8 +180,8 @@
 
     def _on_persisted(self, seq: int, effects: Effects) -> None:
         promised_to = self._unstored_promises.pop(seq, None)
-        has_none = self._pending is None and self.record is None
-        if promised_to is not None and promised_to == self._promised_to and has_none:
+        has_no_record = self._pending is None and self.record is None
+        if promised_to is not None and promised_to == self._promised_to and has_no_record:
             effects.append(SendMessage(promised_to, Announce(self._zone, b"")))
         if self._pending is not None and self._pending.seq == seq:
             self._adopt(self._pending.record, effects)
--- a/badgeryoke/cluster/bootstrap_record.py
+++ b/badgeryoke/cluster/bootstrap_record.py
@@ -17,7 +17,7 @@
     bootstrap_id: str  # random; distinguishes two clusters of the same name
     created_by: MemberId
     members: tuple[tuple[MemberId, str], ...]  # founders and their zones, sorted by name
-    group_count: int  # without the cluster's own group
+    group_count: int  # number of groups, without the cluster's own
     replication_factor: int
 
     def names_member(self, member_id: MemberId) -> bool:
--- a/badgeryoke/cluster/call_router.py
+++ b/badgeryoke/cluster/call_router.py
@@ -59,7 +59,7 @@
     deadline: float
     on_result: ResultHandler
     retry_at: float
-    round: int = 0  # attempts to find the leader so far
+    lookups: int = 0  # how often the leader was looked up so far
     attempt_count: int = 0
     open_attempts: dict[int, None] = field(default_factory=dict)  # unanswered attempts, by number
     last_error: ClusterError | None = None
@@ -99,11 +99,11 @@
         clock: MedianClock,
         tokens: TokenSource,
         timers: NodeTimers,
-        draw: Random,
+        rng: Random,
     ) -> None:
         self._setup, self._call_ms = setup, setup.timings.call_ms
         self._host, self._membership, self._clock = host, membership, clock
-        self._tokens, self._timers, self._draw = tokens, timers, draw
+        self._tokens, self._timers, self._rng = tokens, timers, rng
         self._pending: dict[str, _PendingCall] = {}  # by token
         self._leaders: dict[str, MemberId] = {}  # by group, as last reported
         self._task_ids: dict[str, None] = {}  # ids of unanswered calls made by `call_once`
@@ -163,7 +163,7 @@
     def _attempt(self, now: float, wall: float, token: str, call: _PendingCall) -> list[Effect]:
         """Make one attempt: on the local replica if it leads, otherwise on the member presumed to be the leader."""
         call.retry_at = now + self._call_ms * RETRY_FRACTION
-        call.round += 1
+        call.lookups += 1
         if self._host.leading_replica(call.group) is not None:
             number = call.new_attempt()
             return self._execute(
@@ -173,7 +173,7 @@
                 call.command,
                 lambda at, result: self._end_attempt(at, token, number, result),
             )
-        leader = self._guess_leader(call.group, call.round)
+        leader = self._guess_leader(call.group, call.lookups)
         if not leader:
             call.retry_at = now + RETRY_BACKOFF_MS
             return []
@@ -184,20 +184,20 @@
         body = encode_command(wall, call.command)
         return [SendMessage(to, ForwardedCall(f"{token}.{number}", call.group, body, MAX_HOPS))]
 
-    def _guess_leader(self, group: str, round_: int) -> MemberId:
+    def _guess_leader(self, group: str, lookups: int) -> MemberId:
         """The leader known to the local replica or last reported, else each live replica in turn; "" if none."""
         replica = self._host.replicas.get(group)
         own_id = self._setup.member_id
-        if replica is not None and replica.leader_id and replica.leader_id != own_id and round_ % 2 == 1:
+        if replica is not None and replica.leader_id and replica.leader_id != own_id and lookups % 2 == 1:
             return replica.leader_id
-        if round_ == 1 and self._leaders.get(group) in self._membership.alive_ids():
+        if lookups == 1 and self._leaders.get(group) in self._membership.alive_ids():
             return self._leaders[group]
-        alive = {member_name(one): one for one in self._membership.alive_ids() if one != own_id}
+        alive = {member_name(member): member for member in self._membership.alive_ids() if member != own_id}
         voters = (member_name(voter) for voter in self._host.voters_by_group.get(group, ()))
         others = [alive[name] for name in voters if name in alive]
-        if not others or round_ % 4 >= 2:  # replicas may have moved: try any live member
+        if not others or lookups % 4 >= 2:  # replicas may have moved: try any live member
             others = sorted(alive.values())
-        return others[round_ % len(others)] if others else ""
+        return others[lookups % len(others)] if others else ""
 
     def _end_attempt(self, now: float, token: str, number: int, result: CallResult) -> list[Effect]:
         call = self._pending.get(token)
@@ -218,7 +218,7 @@
         call.last_error = error
         call.may_be_applied = call.may_be_applied or isinstance(error, UnknownOutcome)
         if number == call.attempt_count:  # a failure of an earlier attempt does not delay the latest one
-            call.retry_at = now + RETRY_BACKOFF_MS * self._draw.uniform(*BACKOFF_JITTER)
+            call.retry_at = now + RETRY_BACKOFF_MS * self._rng.uniform(*BACKOFF_JITTER)
             self._timers.bring_forward(call.retry_at)
 
     def _execute(
--- a/badgeryoke/cluster/leader_duties.py
+++ b/badgeryoke/cluster/leader_duties.py
@@ -47,10 +47,10 @@
         if replica.group == FLEET:
             parts = self._host.state_machines[FLEET].parts
             placement = parts["placing"]
-            promised = parts["contracts"].peak_reserved_rate(
+            reserved_rate = parts["contracts"].peak_reserved_rate(
                 wall, wall + parts["rolls"].planning_horizon_ms()
             )
-            load = {**load, "promised": promised}
+            load = {**load, "promised": reserved_rate}
         lagging = {group: placed.lagging for group, placed in placement.groups.items() if placed.lagging}
         for group, local in self._host.replicas.items():
             if local.leading:
@@ -72,7 +72,7 @@
     def _alive_and_heard(self) -> frozenset[MemberId]:
         """Alive members from which this process has received a message, and this member itself.
 
-        Right after a start that is this member alone, whatever gossip says.
+        Right after a start only this member itself counts, whatever gossip reports.
         """
         return frozenset(
             member
--- a/badgeryoke/cluster/node.py
+++ b/badgeryoke/cluster/node.py
@@ -58,7 +58,7 @@
 
 __all__ = ["ANY_SERVER", "BOOTSTRAP_GROUP", "ClusterNode", "LeaseClient", "Member", "NodeSetup"]
 
-POLL_INTERVAL_MS = 50.0  # between polls of the lease clients
+POLL_INTERVAL_MS = 50.0  # interval between polls of the lease clients
 LEAVE_TIMEOUT_ELECTIONS = 2  # a graceful shutdown waits this many `election_ms` for leadership transfers
 
 
@@ -74,7 +74,7 @@
         self,
         setup: NodeSetup,
         saved: dict[str, PersistedGroup],
-        draw: Random,
+        rng: Random,
         now: float,
         wall: float,
         rules: Invariants,
@@ -90,14 +90,14 @@
             server: limit for server, limit in setup.connection_limits.items() if server != ANY_SERVER
         }
         self.membership = Membership(
-            self.member_id, zones.get(setup.member_name, ""), setup.members, setup.timings, draw, now
+            self.member_id, zones.get(setup.member_name, ""), setup.members, setup.timings, rng, now
         )
-        self.bootstrap = Bootstrap(setup, saved.pop(BOOTSTRAP_GROUP, PersistedGroup()), draw, now)
+        self.bootstrap = Bootstrap(setup, saved.pop(BOOTSTRAP_GROUP, PersistedGroup()), rng, now)
         self.clock = MedianClock(zones)
         self._timers = NodeTimers(due_at=now, leader_tasks_at=now, poll_at=now)
-        tokens = TokenSource(self.member_id, draw)
-        self.host = ReplicaHost(setup, saved, draw, rules, self._timers)
-        self.router = CallRouter(setup, self.host, self.membership, self.clock, tokens, self._timers, draw)
+        tokens = TokenSource(self.member_id, rng)
+        self.host = ReplicaHost(setup, saved, rng, rules, self._timers)
+        self.router = CallRouter(setup, self.host, self.membership, self.clock, tokens, self._timers, rng)
         self.placement_follower = PlacementFollower(
             setup, rules, self.host, self.membership, self.router, tokens, self._timers, now
         )
@@ -250,7 +250,7 @@
         return effects + self.placement_follower.run_timer(now, cluster_time)
 
     def _lease_clients_due(self) -> float:
-        """When the next lease client asks to be polled before the regular interval (ms); infinite if none does."""
+        """When the next lease client has to be polled before the regular interval (ms); infinite if none has to."""
         if self.host.record is None:
             return math.inf
         return min((getattr(client, "due", math.inf) for client in self.lease_clients), default=math.inf)
--- a/badgeryoke/cluster/node_setup.py
+++ b/badgeryoke/cluster/node_setup.py
@@ -32,7 +32,7 @@
     incarnation: str  # random, generated with the store; a new store means a new incarnation
     members: tuple[Member, ...]
     replication_factor: int = 3
-    group_count: int = 8  # without the cluster's own group
+    group_count: int = 8  # number of groups, without the cluster's own
     timings: Timings = field(default_factory=Timings)
     capacity: float = 0.0  # units per second that all contracts together may reserve
     connection_limits: dict[str, int] = field(default_factory=dict)  # by server
--- a/badgeryoke/cluster/node_timers.py
+++ b/badgeryoke/cluster/node_timers.py
@@ -34,8 +34,8 @@
     A random prefix keeps a reply to an earlier process from matching a token of this one.
     """
 
-    def __init__(self, member_id: MemberId, draw: Random) -> None:
-        self._prefix = f"{member_id}:{draw.getrandbits(TOKEN_BITS):012x}"
+    def __init__(self, member_id: MemberId, rng: Random) -> None:
+        self._prefix = f"{member_id}:{rng.getrandbits(TOKEN_BITS):012x}"
         self._count = 0
 
     def next(self) -> str:
--- a/badgeryoke/cluster/placement_follower.py
+++ b/badgeryoke/cluster/placement_follower.py
@@ -19,11 +19,13 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult
 
 LAGGING_AFTER_MS = 1000.0  # a voter that has not caught up for this long is reported
-IDLE_READ_INTERVAL_MS = 3000.0  # if no group is led here; the placement is then used only to route calls
-LEADER_READ_INTERVAL_MS = 400.0  # if a group is led here and the placement is not settled
-SETTLED_READ_INTERVAL_MS = 1600.0  # if a group is led here and the placement was settled for SETTLED_AFTER_MS
+# Interval if no group is led here; the placement is then used only to route calls.
+IDLE_READ_INTERVAL_MS = 3000.0
+LEADER_READ_INTERVAL_MS = 400.0  # interval if a group is led here and the placement is not settled
+# Interval if a group is led here and the placement was settled for SETTLED_AFTER_MS.
+SETTLED_READ_INTERVAL_MS = 1600.0
 SETTLED_AFTER_MS = 5000.0  # long enough for the next gateway of a rolling restart to have begun
-CHANGE_READ_DELAY_MS = 50.0  # while a replica is being moved
+CHANGE_READ_DELAY_MS = 50.0  # delay of the next read while a replica is being moved
 TIMER_SLACK_MS = 1.0  # a read that is due within this time is made now
 
 
@@ -156,7 +158,7 @@
     def lagging_for_long(self, now: float, group: str, replica: RaftNode) -> tuple[MemberId, ...]:
         """Voters that have lagged for `LAGGING_AFTER_MS`; a shorter lag is not worth a log entry.
 
-        A new leader does not know since when its voters lag, so it counts every lagging voter at first.
+        A new leader has no record of when its voters began to lag, so it reports every lagging voter at first.
         """
         lagging = replica.lagging_voters()
         self._lagging_since = {
--- a/badgeryoke/cluster/replica_host.py
+++ b/badgeryoke/cluster/replica_host.py
@@ -41,12 +41,12 @@
         self,
         setup: NodeSetup,
         saved: dict[str, PersistedGroup],
-        draw: Random,
+        rng: Random,
         rules: Invariants,
         timers: NodeTimers,
     ) -> None:
         self._member_id, self._timings = setup.member_id, setup.timings
-        self._saved, self._draw, self._rules, self._timers = saved, draw, rules, timers
+        self._saved, self._rng, self._rules, self._timers = saved, rng, rules, timers
         self.record: BootstrapRecord | None = None
         self.replicas: dict[str, RaftNode] = {}
         self.state_machines: dict[str, GroupStateMachine] = {}
@@ -54,7 +54,7 @@
         self._initial_voters: dict[str, tuple[MemberId, ...]] = {}
         self.is_leaving = False  # a graceful shutdown is in progress
         self._handlers: dict[str, CompletionHandler] = {}  # by token
-        self._rolling_restart = "", 0  # name and version of the active one when last checked
+        self._rolling_restart = "", 0  # name and version of the active rolling restart when last checked
 
     def open(self, now: float, record: BootstrapRecord) -> None:
         """Create the replicas that are stored, or initially placed, on this member, once the cluster is bootstrapped."""
@@ -91,7 +91,7 @@
             saved,
             state_machine,
             self._timings,
-            self._draw,
+            self._rng,
             self._rules,
             now,
             config,
@@ -131,7 +131,7 @@
         return [event, *self.feed(now, group, StorageFailure(error))]
 
     def _check_rolling_restart(self, now: float) -> None:
-        """After progress of a rolling restart run the leader tasks at once, not at the next heartbeat."""
+        """Run the leader tasks at once after progress of a rolling restart, not at the next heartbeat."""
         active = self.state_machines[FLEET].parts["rolls"].active
         if active is not None and (active.name, active.version) != self._rolling_restart:
             self._rolling_restart = active.name, active.version
--- a/badgeryoke/cluster/state_machine_part.py
+++ b/badgeryoke/cluster/state_machine_part.py
@@ -75,7 +75,7 @@
     alive_ids: frozenset[MemberId]  # as seen by this member's failure detector
     dead_for_ms: dict[MemberId, float]  # how long this member has considered each one dead
     zones: dict[str, str]  # by member name
-    load: dict[str, float]  # the gateway's figures: "capacity", "demand", ... (units per second)
+    load: dict[str, float]  # known to the gateway: "capacity", "demand", ... (units per second)
     voters_by_group: dict[str, tuple[MemberId, ...]]  # voters of each group according to the placement
     lagging_replicas: dict[str, tuple[MemberId, ...]]  # replicas of each group that have not caught up
 
--- a/badgeryoke/cluster/timings.py
+++ b/badgeryoke/cluster/timings.py
@@ -16,10 +16,10 @@
 class Timings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The defaults suit machines of one site, with a few ms of latency.  All times are in ms."""
 
-    heartbeat_ms: float = 100.0  # interval; an idle leader skips every second heartbeat
+    heartbeat_ms: float = 100.0  # heartbeat interval; an idle leader skips every second heartbeat
     election_ms: float = 600.0  # election timeout, randomized between this and twice this
     probe_ms: float = 500.0  # SWIM protocol period: one member is pinged per period
-    probe_timeout_ms: float = 150.0  # until an indirect probe through other members
+    probe_timeout_ms: float = 150.0  # time without an Ack until other members are asked to probe
     suspect_periods: float = 4.0  # minimum suspicion timeout in periods, times max(1, log10(members))
     repair_after_ms: float = 3000.0  # how long a member is dead before its replicas are replaced
     lease_ms: float = 2000.0  # duration of a lease on a rate or on connections
--- a/badgeryoke/cluster/unreported_usage.py
+++ b/badgeryoke/cluster/unreported_usage.py
@@ -25,8 +25,8 @@
 # their gateway.
 MAX_UNREPORTED_BYTES = 24 * 1024 * 1024
 MIN_BATCH_BYTES = 24 * 1024  # minimum size charged for a batch, which limits a group to 1024 batches
-BATCH_OVERHEAD_BYTES = 512  # for the name of a batch and the ids of its gateways
-LINE_OVERHEAD_BYTES = 24
+BATCH_OVERHEAD_BYTES = 512  # charged for the name of a batch and the ids of its gateways
+LINE_OVERHEAD_BYTES = 24  # charged for each line in addition to its name
 MAX_LINES = 256
 MAX_NAME_CHARACTERS = 64
 MAX_UNITS = 1e9
