--- a/badgeryoke/cluster/bootstrap.py
+++ b/badgeryoke/cluster/bootstrap.py
@@ -261,8 +261,10 @@
         return self.record is None and self._pending is None and self.error is None
 
     def _is_of_this_cluster(self, record: BootstrapRecord) -> bool:
-        known = self.record or record
-        return record.cluster_name == self._setup.cluster_name and known.bootstrap_id == record.bootstrap_id
+        expected = self.record or record
+        return (
+            record.cluster_name == self._setup.cluster_name and expected.bootstrap_id == record.bootstrap_id
+        )
 
     def _breaks_promise(self, sender: MemberId, record: BootstrapRecord) -> bool:
         """Whether the record is older than the promise to a later creator, and so may have been superseded."""
--- a/badgeryoke/cluster/leader_duties.py
+++ b/badgeryoke/cluster/leader_duties.py
@@ -106,15 +106,15 @@
         """Commands for servers of the group whose stored connection limit differs from this gateway's."""
         assert self._host.record is not None
         group_count = self._host.record.group_count
-        known = state_machine.parts["connections"].servers
+        known_servers = state_machine.parts["connections"].servers
         commands: list[Command] = []
         for server, limit in connection_limits.items():
-            is_known = server in known
-            if is_known and known[server].pool.capacity == limit:
+            is_known = server in known_servers
+            if is_known and known_servers[server].pool.capacity == limit:
                 continue
             if group_for_key(server_bucket(server), group_count) != group:
                 continue
-            known_limit = known[server].pool.capacity if is_known else 0
+            known_limit = known_servers[server].pool.capacity if is_known else 0
             commands.append(
                 SetConnectionLimit(
                     id=f"limit/{server}/{limit}/{known_limit:g}/{state_machine.index}",
--- a/badgeryoke/cluster/leases/lease_pool.py
+++ b/badgeryoke/cluster/leases/lease_pool.py
@@ -123,7 +123,9 @@
     # Requests
     # ------------------------------------------------------------------------------------
 
-    def request(self, request: LeaseRequest, rules: Invariants) -> LeaseGrant | InvalidCall | LeaseExpired:
+    def request(
+        self, request: LeaseRequest, invariants: Invariants
+    ) -> LeaseGrant | InvalidCall | LeaseExpired:
         """Apply a request (see `LeaseRequest`).  Returns LeaseExpired if the lease that it names is not in
         force, and InvalidCall if its amounts are out of bounds or there are too many holders."""
         lease = self.leases.get(request.holder)
@@ -141,8 +143,8 @@
         new_share = self._new_share(request, share_before)
         new_bucket = self._new_bucket(request, is_new=lease is None)
         self._add_lease(request, new_share.share, new_bucket.depth)
-        self._recompute_sums(rules)
-        self._check_bounds(rules, granted_before, depth_before)
+        self._recompute_sums(invariants)
+        self._check_bounds(invariants, granted_before, depth_before)
         return self._grant(request, new_share, new_bucket)
 
     def _add_lease(self, request: LeaseRequest, share: float, depth: float) -> None:
@@ -222,9 +224,9 @@
         depth = request.kept_depth + max(min(increase, free_depth + units), units)
         return NewBucket(fair_depth, depth, units)
 
-    def _check_bounds(self, rules: Invariants, granted_before: float, depth_before: float) -> None:
+    def _check_bounds(self, invariants: Invariants, granted_before: float, depth_before: float) -> None:
         granted, granted_depth = self.granted(), self._granted_depth()
-        rules.check(
+        invariants.check(
             Rule.PARTS_IN_WHOLE,
             granted <= max(self.target, granted_before) + ROUNDING_TOLERANCE
             and granted_depth + self.free_units <= max(self.depth, depth_before) + ROUNDING_TOLERANCE,
@@ -325,12 +327,12 @@
         if not self.leases:
             self.sums = LeaseSums()
 
-    def _recompute_sums(self, rules: Invariants) -> None:
+    def _recompute_sums(self, invariants: Invariants) -> None:
         """Recompute the sums after `RECOMPUTE_AFTER_CHANGES` changes, so that rounding errors do not add up."""
         if self.sums.changes < RECOMPUTE_AFTER_CHANGES:
             return
         running_sums, recomputed_sums = self.sums, LeaseSums.of(self.leases.values())
-        rules.check(
+        invariants.check(
             Rule.PARTS_IN_WHOLE,
             running_sums.agrees_with(recomputed_sums, ROUNDING_TOLERANCE),
             lambda: f"running sums {running_sums.dump()}, recomputed {recomputed_sums.dump()}",
--- a/badgeryoke/cluster/node.py
+++ b/badgeryoke/cluster/node.py
@@ -77,10 +77,10 @@
         rng: Random,
         now: float,
         wall: float,
-        rules: Invariants,
+        invariants: Invariants,
         lease_clients: Iterable[LeaseClient] = (),
     ) -> None:
-        self.setup, self.rules, self.member_id = setup, rules, setup.member_id
+        self.setup, self.rules, self.member_id = setup, invariants, setup.member_id
         zones = {member.name: member.zone for member in setup.members}
         saved = dict(saved)
         self.load: dict[str, float] = {"capacity": setup.capacity}
@@ -96,10 +96,10 @@
         self.clock = MedianClock(zones)
         self._timers = NodeTimers(due_at=now, leader_tasks_at=now, poll_at=now)
         tokens = TokenSource(self.member_id, rng)
-        self.host = ReplicaHost(setup, saved, rng, rules, self._timers)
+        self.host = ReplicaHost(setup, saved, rng, invariants, self._timers)
         self.router = CallRouter(setup, self.host, self.membership, self.clock, tokens, self._timers, rng)
         self.placement_follower = PlacementFollower(
-            setup, rules, self.host, self.membership, self.router, tokens, self._timers, now
+            setup, invariants, self.host, self.membership, self.router, tokens, self._timers, now
         )
         self.leader_duties = LeaderDuties(
             setup, self.host, self.membership, self.router, self.placement_follower
--- a/badgeryoke/cluster/placement/repair.py
+++ b/badgeryoke/cluster/placement/repair.py
@@ -101,9 +101,9 @@
         commands: list[PlacementCommand] = [*self._enrolments(), *self._cancellations()]
         if commands:
             return commands  # repairs are planned once these have been applied
-        capacity = self.view.timings.repair_at_once - len(self.placement.moves)
-        if capacity > 0:
-            commands += self._repairs(capacity)
+        max_moves = self.view.timings.repair_at_once - len(self.placement.moves)
+        if max_moves > 0:
+            commands += self._repairs(max_moves)
         if commands or self.placement.moves or self.placement.replication_problems(self.view):
             return commands
         rebalance = self._best_rebalance()
@@ -147,8 +147,8 @@
             return "the group has lost its majority"
         return ""
 
-    def _repairs(self, capacity: int) -> list[PlacementCommand]:
-        """Moves for groups with a missing, lost or surplus replica, at most `capacity` of them."""
+    def _repairs(self, max_moves: int) -> list[PlacementCommand]:
+        """Moves for groups with a missing, lost or surplus replica, at most `max_moves` of them."""
         load = self.placement.replica_loads()
         commands: list[PlacementCommand] = []
         for broken in sorted(self._broken_groups(load)):
@@ -160,7 +160,7 @@
                 new = chosen.id
                 load[new] += 1
             commands.append(self._replace(len(commands), broken.group, broken.lost, new))
-            if len(commands) == capacity:
+            if len(commands) == max_moves:
                 break
         return commands
 
--- a/badgeryoke/cluster/placement/state.py
+++ b/badgeryoke/cluster/placement/state.py
@@ -94,24 +94,26 @@
 
         Empty if every group has all its replicas, with current ids, alive and caught up, and no move is in progress.
         """
-        lines = [
+        problems = [
             f"{group}: replacing {move.lost or 'none'} by {move.new or 'none'} is in progress"
             for group, move in self.moves.items()
         ]
         for group, placement in self.groups.items():
-            lines += self._group_problems(group, placement, view)
-        return lines
+            problems += self._group_problems(group, placement, view)
+        return problems
 
     def _group_problems(self, group: str, placement: GroupPlacement, view: LeaderView) -> list[str]:
-        lines: list[str] = []
+        problems: list[str] = []
         wanted = self.wanted_replicas()
         if len(placement.voters) != wanted:
-            lines.append(f"{group}: {len(placement.voters)} replicas instead of {wanted}")
-        lines += [
+            problems.append(f"{group}: {len(placement.voters)} replicas instead of {wanted}")
+        problems += [
             f"{group}: {member} is lost"
             for member in placement.voters
             if not self.is_current_id(member) or member not in view.alive_ids
         ]
         lagging = dict.fromkeys((*placement.lagging, *view.lagging_replicas.get(group, ())))
-        lines += [f"{group}: {member} has not caught up" for member in lagging if member in placement.voters]
-        return lines
+        problems += [
+            f"{group}: {member} has not caught up" for member in lagging if member in placement.voters
+        ]
+        return problems
--- a/badgeryoke/cluster/placement_follower.py
+++ b/badgeryoke/cluster/placement_follower.py
@@ -35,7 +35,7 @@
     def __init__(
         self,
         setup: NodeSetup,
-        rules: Invariants,
+        invariants: Invariants,
         host: ReplicaHost,
         membership: Membership,
         router: CallRouter,
@@ -43,10 +43,10 @@
         timers: NodeTimers,
         now: float,
     ) -> None:
-        self._member_id, self._timings, self._rules = setup.member_id, setup.timings, rules
+        self._member_id, self._timings, self._invariants = setup.member_id, setup.timings, invariants
         self._host, self._membership, self._router = host, membership, router
         self._tokens, self._timers = tokens, timers
-        self.placement = PlacementDirectory(setup.timings, rules)
+        self.placement = PlacementDirectory(setup.timings, invariants)
         self._is_reading = False
         self._changing_groups: dict[str, None] = {}  # groups with a membership change in flight here
         # Since when (ms) a voter of a group led here lags, by group and voter.
@@ -93,7 +93,7 @@
 
     def _load_placement(self, state: Any) -> None:
         """Adopt `state`, the placement in its snapshot form, and the member ids and voters in it."""
-        self.placement = PlacementDirectory(self._timings, self._rules)
+        self.placement = PlacementDirectory(self._timings, self._invariants)
         self.placement.load(state)
         self._host.voters_by_group = self.placement.voters()
         self._membership.learn_ids(member.id for member in self.placement.members.values())
--- a/badgeryoke/cluster/replica_host.py
+++ b/badgeryoke/cluster/replica_host.py
@@ -42,11 +42,11 @@
         setup: NodeSetup,
         saved: dict[str, PersistedGroup],
         rng: Random,
-        rules: Invariants,
+        invariants: Invariants,
         timers: NodeTimers,
     ) -> None:
         self._member_id, self._timings = setup.member_id, setup.timings
-        self._saved, self._rng, self._rules, self._timers = saved, rng, rules, timers
+        self._saved, self._rng, self._invariants, self._timers = saved, rng, invariants, timers
         self.record: BootstrapRecord | None = None
         self.replicas: dict[str, RaftNode] = {}
         self.state_machines: dict[str, GroupStateMachine] = {}
@@ -77,7 +77,7 @@
         return replica
 
     def _make_replica(self, now: float, group: str) -> RaftNode:
-        state_machine = self.state_machines[group] = GroupStateMachine(group, self._timings, self._rules)
+        state_machine = self.state_machines[group] = GroupStateMachine(group, self._timings, self._invariants)
         if group == FLEET:
             assert self.record is not None
             state_machine.parts["placing"].initialize(self.record)
@@ -92,7 +92,7 @@
             state_machine,
             self._timings,
             self._rng,
-            self._rules,
+            self._invariants,
             now,
             config,
         )
@@ -109,7 +109,7 @@
     def feed(self, now: float, group: str, event: ReplicaEvent) -> list[Effect]:
         """Pass an event to a replica; completed operations go to their handlers, other effects are returned."""
         replica = self.replicas[group]
-        broken_before = self._rules.count
+        broken_before = self._invariants.count
         effects: list[Effect] = []
         for effect in replica.handle(now, event):
             if isinstance(effect, OperationCompleted):
@@ -119,13 +119,13 @@
         self._timers.bring_forward(replica.due_ms)  # if it has moved later instead, the earlier Tick is idle
         if group == FLEET and replica.leading:
             self._check_rolling_restart(now)
-        if self._rules.count != broken_before and not isinstance(event, StorageFailure):
+        if self._invariants.count != broken_before and not isinstance(event, StorageFailure):
             effects += self._stop_replica(now, group)
         return effects
 
     def _stop_replica(self, now: float, group: str) -> list[Effect]:
         """Stop a replica that violated an invariant: it acknowledges nothing any more."""
-        rule, facts = self._rules.broken[-1]
+        rule, facts = self._invariants.broken[-1]
         error = InvariantBroken(group, f"{rule.name}: {facts}")
         event = LogEvent("error", "invariant broken", {"group": group, "error": str(error)})
         return [event, *self.feed(now, group, StorageFailure(error))]
--- a/badgeryoke/cluster/reservations/admission.py
+++ b/badgeryoke/cluster/reservations/admission.py
@@ -82,9 +82,9 @@
 class ContractRegistry:
     """Contracts by name, in the order of their admission; a `StateMachinePart`."""
 
-    def __init__(self, timings: Timings, rules: Invariants) -> None:
+    def __init__(self, timings: Timings, invariants: Invariants) -> None:
         self.contracts: dict[str, Contract] = {}
-        self.reserved_capacity = ReservedCapacity(timings, rules)
+        self.reserved_capacity = ReservedCapacity(timings, invariants)
         self.last_version = 0  # version numbers are unique over all contracts
         self.revision = 0  # counts the changes that gateways have to receive
         self._open_retries = RetrySchedule()
--- a/badgeryoke/cluster/reservations/guaranteed_rates.py
+++ b/badgeryoke/cluster/reservations/guaranteed_rates.py
@@ -43,8 +43,8 @@
 class GuaranteedRates:
     """Open contracts by name; a `StateMachinePart`."""
 
-    def __init__(self, timings: Timings, rules: Invariants) -> None:
-        self._timings, self._rules = timings, rules
+    def __init__(self, timings: Timings, invariants: Invariants) -> None:
+        self._timings, self._invariants = timings, invariants
         self.contracts: dict[str, GuaranteedRate] = {}
         # The last number over all contracts, so that the numbers of a reopened contract do not start at 1 again.
         self.last_lease_number = 0
@@ -165,10 +165,10 @@
             min_depth=command.min_depth,
             draws_per_request=command.draws_per_request,
         )
-        return pool.request(request, self._rules)
+        return pool.request(request, self._invariants)
 
     def _check_number(self, contract: str, number: int) -> None:
-        self._rules.check(
+        self._invariants.check(
             Rule.LEASE_ONCE,
             number > self.last_lease_number,
             lambda: f"{contract}: lease number {number} was already granted",
--- a/badgeryoke/cluster/reservations/reserved_capacity.py
+++ b/badgeryoke/cluster/reservations/reserved_capacity.py
@@ -30,8 +30,8 @@
 class ReservedCapacity:
     """The stated capacity; the contracts that reserve it are passed to each method."""
 
-    def __init__(self, timings: Timings, rules: Invariants) -> None:
-        self._timings, self._rules = timings, rules
+    def __init__(self, timings: Timings, invariants: Invariants) -> None:
+        self._timings, self._invariants = timings, invariants
         self.capacity = 0.0
         self.reserve_fraction = 0.0
         self.unreserved_rate = 0.0
@@ -120,7 +120,7 @@
     def _verify_zone(self, contracts: list[Contract], zone: str, at_ms: float) -> None:
         peak, available = self.profile(contracts, zone).peak(at_ms, math.inf), self.available(zone)
         overcommitted = self.overcommitted.get(zone, 0.0)
-        self._rules.check(
+        self._invariants.check(
             Rule.CONTRACTS_FIT,
             peak <= max(available, overcommitted) + ROUNDING_TOLERANCE,
             lambda: f"{peak:g} units a second reserved, {available:g} available",
--- a/badgeryoke/cluster/state_machine/command_registry.py
+++ b/badgeryoke/cluster/state_machine/command_registry.py
@@ -67,23 +67,25 @@
 
 REGISTRY = CommandRegistry()
 REGISTRY.register_group_part(
-    PartName.KEY_VALUE, key_value.COMMANDS, lambda timings, rules: key_value.KeyValueStore()
+    PartName.KEY_VALUE, key_value.COMMANDS, lambda timings, invariants: key_value.KeyValueStore()
 )
 REGISTRY.register_cluster_part(PartName.PLACEMENT, placement_commands.COMMANDS, directory.PlacementDirectory)
 REGISTRY.register_cluster_part(PartName.CONTRACTS, FLEET_COMMANDS, ContractRegistry)
 REGISTRY.register_cluster_part(
-    PartName.ROLLING_RESTARTS, ROLLING_RESTART_COMMANDS, lambda timings, rules: RollingRestarts(rules)
+    PartName.ROLLING_RESTARTS,
+    ROLLING_RESTART_COMMANDS,
+    lambda timings, invariants: RollingRestarts(invariants),
 )
 REGISTRY.register_group_part(PartName.GUARANTEED_RATES, TENANT_COMMANDS, GuaranteedRates)
 REGISTRY.register_group_part(
     PartName.CONNECTION_LIMITS,
     CONNECTION_LIMIT_COMMANDS,
-    lambda timings, rules: ConnectionLimits(rules, timings),
+    lambda timings, invariants: ConnectionLimits(invariants, timings),
 )
 REGISTRY.register_group_part(
     PartName.UNREPORTED_USAGE,
     unreported_usage.UNREPORTED_USAGE_COMMANDS,
-    lambda timings, rules: unreported_usage.UnreportedUsage(),
+    lambda timings, invariants: unreported_usage.UnreportedUsage(),
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/badgeryoke/cluster/state_machine/machine.py
+++ b/badgeryoke/cluster/state_machine/machine.py
@@ -21,17 +21,17 @@
 class GroupStateMachine:
     """The state of one group.  `at_ms` is the group's own time (Unix ms), `index` the last applied index."""
 
-    def __init__(self, group: str, timings: Timings, rules: Invariants) -> None:
-        self.group, self._rules = group, rules
+    def __init__(self, group: str, timings: Timings, invariants: Invariants) -> None:
+        self.group, self._invariants = group, invariants
         factories = REGISTRY.cluster_parts if group == FLEET else REGISTRY.group_parts
-        self.parts: dict[str, Any] = {name: make(timings, rules) for name, make in factories.items()}
+        self.parts: dict[str, Any] = {name: make(timings, invariants) for name, make in factories.items()}
         self.at_ms = 0.0
         self.index = 0
         self.answers = RememberedAnswers()
 
     def apply(self, now: float, index: int, body: bytes) -> ApplyResult:
         """Apply one entry; `now` is this machine's monotonic clock (ms).  Raises only for a violated invariant."""
-        self._rules.check(
+        self._invariants.check(
             Rule.APPLIED_ONCE, index > self.index, lambda: f"{self.group}: {index} after {self.index}"
         )
         self.index = index
@@ -55,7 +55,7 @@
         part.record_applied(now)
         # A rejected command changed nothing and may be retried, so its answer is not remembered.
         if command.remembers_answer and result.error is None:
-            self._rules.check(Rule.ID_ONCE, command.id not in self.answers, lambda: command.id)
+            self._invariants.check(Rule.ID_ONCE, command.id not in self.answers, lambda: command.id)
             self.answers.add(command.id, checksum, result)
         return result
 
--- a/badgeryoke/cluster/unreported_usage.py
+++ b/badgeryoke/cluster/unreported_usage.py
@@ -122,8 +122,8 @@
 
     def size_bytes(self) -> int:
         """Size that is charged for the batch."""
-        lines = sum(len(line.name.encode()) + LINE_OVERHEAD_BYTES for line in self.lines)
-        return max(BATCH_OVERHEAD_BYTES + len(self.tenant.encode()) + lines, MIN_BATCH_BYTES)
+        line_bytes = sum(len(line.name.encode()) + LINE_OVERHEAD_BYTES for line in self.lines)
+        return max(BATCH_OVERHEAD_BYTES + len(self.tenant.encode()) + line_bytes, MIN_BATCH_BYTES)
 
     def units(self) -> float:
         """Sum of the units of its lines."""
