--- a/badgeryoke/cluster/placement/repair.py
+++ b/badgeryoke/cluster/placement/repair.py
@@ -22,7 +22,8 @@
 from badgeryoke.cluster.placement.state import EnrolledMember, GroupPlacement, PlacementState, ReplicaMove
 from badgeryoke.cluster.state_machine_part import FLEET, LeaderView
 
-MAX_MOVE_DURATION_MS = 60_000.0  # for a learner to catch up; a slow learner is not chosen again for as long
+# Time for a learner to catch up; a slow learner is not chosen again for as long.
+MAX_MOVE_DURATION_MS = 60_000.0
 MIN_REBALANCE_GAIN = 2  # difference in replicas; with a smaller one, a move would only reverse the difference
 
 
@@ -100,9 +101,9 @@
         commands: list[PlacementCommand] = [*self._enrolments(), *self._cancellations()]
         if commands:
             return commands  # repairs are planned once these have been applied
-        capacity = self.view.timings.repair_at_once - len(self.placement.moves)
-        if capacity > 0:
-            commands += self._repairs(capacity)
+        max_moves = self.view.timings.repair_at_once - len(self.placement.moves)
+        if max_moves > 0:
+            commands += self._repairs(max_moves)
         if commands or self.placement.moves or self.placement.replication_problems(self.view):
             return commands
         rebalance = self._best_rebalance()
@@ -146,8 +147,8 @@
             return "the group has lost its majority"
         return ""
 
-    def _repairs(self, capacity: int) -> list[PlacementCommand]:
-        """Moves for groups with a missing, lost or surplus replica, at most `capacity` of them."""
+    def _repairs(self, max_moves: int) -> list[PlacementCommand]:
+        """Moves for groups with a missing, lost or surplus replica, at most `max_moves` of them."""
         load = self.placement.replica_loads()
         commands: list[PlacementCommand] = []
         for broken in sorted(self._broken_groups(load)):
@@ -159,7 +160,7 @@
                 new = chosen.id
                 load[new] += 1
             commands.append(self._replace(len(commands), broken.group, broken.lost, new))
-            if len(commands) == capacity:
+            if len(commands) == max_moves:
                 break
         return commands
 
