--- a/badgeryoke/testbed/emulator/__init__.py
+++ b/badgeryoke/testbed/emulator/__init__.py
@@ -1,6 +1,6 @@
-"""The emulator: everything around real gateway processes, on loopback sockets, written from the protocol
-page.
+"""The emulator: everything around real gateway processes, on loopback sockets, implemented from the protocol
+documentation alone.
 
-All parties but the gateways live in one process, so that the referee books what reaches the servers'
+All parties but the gateways run in one process, so that the quota checker records what reaches the servers'
 sockets by one clock.
 """
--- a/badgeryoke/testbed/emulator/clients.py
+++ b/badgeryoke/testbed/emulator/clients.py
@@ -1,4 +1,5 @@
-"""Clients: connections to one gateway, one try at a time on each, further ones where all are busy."""
+"""A pool of client connections to one gateway: one attempt at a time on each, and more connections while all are
+busy."""
 
 from __future__ import annotations
 
@@ -9,14 +10,18 @@
 
 from badgeryoke.testbed.emulator.resp import Peer, words
 
-MOST_CONNECTIONS = 250  # to one gateway; a try that finds all of them busy waits its turn
+MOST_CONNECTIONS = 250  # to one gateway; further attempts are queued
 MOST_WAITING = 5000
-# Told how a try ended (served, refused, failed, or lost with the connection), and a refusal's wait in ms.
+# Called with an attempt's outcome (served, refused, failed, or lost with the connection) and, for a rejected one, the
+# Retry-After in ms.
 Done = Callable[[str, float], None]
 
 
 class Door:
-    """One gateway, as clients reach it."""
+    """The connections from all clients to one gateway.
+
+    `up`: whether the load balancer in front of the gateways sends clients to this one.
+    """
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
@@ -26,7 +31,8 @@
         self.up = False
 
     def ask(self, data: bytes, done: Done) -> bool:
-        """Send a try; done is called once.  False where nobody can take it."""
+        """Send or queue an attempt and return True; `done` is called once.  Returns False if the gateway is down
+        or the queue is full."""
         if not self.up or len(self._waiting) >= MOST_WAITING:
             return False
         while self._idle:
@@ -49,7 +55,7 @@
                 self.drop()
 
     def free(self, client: _Client) -> None:
-        """A connection has nothing to do."""
+        """Give an idle connection the first queued attempt, or keep it for later."""
         if self._waiting:
             data, done = self._waiting.popleft()
             client.send(data, done)
@@ -57,19 +63,19 @@
             self._idle.append(client)
 
     def gone(self) -> None:
-        """A connection has ended."""
+        """Account for a closed connection; reconnect if it was the last one and attempts are queued."""
         self._open -= 1
         if not self._open and self._waiting:
             self._open += 1
             asyncio.get_running_loop().create_task(self._connect())
 
     def drop(self) -> None:
-        """Nobody listens: what waits is lost."""
+        """End all queued attempts as lost, since the gateway does not listen."""
         while self._waiting:
             self._waiting.popleft()[1]("lost", 0.0)
 
     async def ping(self, within_s: float) -> bool:
-        """Whether it says that it is ready, within so long; asked once at the least."""
+        """Whether the gateway answers PING with PONG within `within_s`; PING is sent at least once."""
         loop = asyncio.get_running_loop()
         until = loop.time() + within_s
         while True:
@@ -104,7 +110,7 @@
 
 
 class _Client(Peer):
-    """One connection, one try at a time."""
+    """One connection, with one attempt at a time."""
 
     def __init__(self, door: Door) -> None:
         super().__init__()
@@ -112,8 +118,11 @@
         self._done: Done | None = None
 
     def usable(self) -> bool:
-        """Whether the far end has not closed it.  What lies unread tells, though this process may be late
-        to read it: a client of its own would have known."""
+        """Whether the gateway has kept the connection open.
+
+        Unread input on an idle connection is its end, which this process may be late to read; a client with its
+        own process would have read it already.
+        """
         if self.transport is None or self.transport.is_closing():
             return False
         look = select.poll()
@@ -121,7 +130,7 @@
         return not look.poll(0)
 
     def send(self, data: bytes, done: Done) -> None:
-        """Send one try."""
+        """Send one attempt."""
         self._done = done
         self.write(data)
 
--- a/badgeryoke/testbed/emulator/cluster.py
+++ b/badgeryoke/testbed/emulator/cluster.py
@@ -1,9 +1,8 @@
-"""What gateways share, with real processes: their files, their links, what is done to them, and what is seen
-of it.
+"""The cluster of real gateway processes in an emulated run: configuration files, links, faults, and figures.
 
-The referee's figures of promises come from the client's book alone, those of connections from the servers.
-What no outsider can see (who leads which term, whether the copies are whole, whether a rule of the code is
-broken) is asked of the gateways' second addresses, each of them, ten times a second.
+The figures of acknowledged writes come from the write client's ledger alone, those of connections from the servers.
+What cannot be observed from outside (the leader of each term, complete replicas, broken invariants) is polled at
+the management address of every gateway, ten times a second.
 """
 
 from __future__ import annotations
@@ -41,29 +40,29 @@
 LOOK_S = 0.1
 STATUS_S = 1.0
 FOUNDED_S = 20.0
-WHOLE_S = 30.0  # for which a fault that waits for whole copies is put off at the most
-READ_S, READ_EACH_S = 20.0, 0.05  # for reading back, the calls of a busy machine among them
+WHOLE_S = 30.0  # longest delay of a fault that waits for complete replicas
+READ_S, READ_EACH_S = 20.0, 0.05  # time to read all writes back, and for each of them, on a busy machine
 DRAIN_MS, WARM_MS = (
     10_000.0,
     500.0,
-)  # for a gateway to become empty or come back, and from then to the next wave
-ROLLED_S = 120.0  # for which the end waits for a roll at the most
-DOWN_S = 2.0  # that a scheduling leader which was killed stays down
-# The transitions in a gateway's log that time a restart: from draining to drained, and from SIGTERM on.
+)  # deadline for a gateway to drain or return, and pause between that and the next wave
+ROLLED_S = 120.0  # longest wait for a rolling restart at the end
+DOWN_S = 2.0  # time until a killed leader that schedules a rolling restart is started again
+# Log lines that mark the phases of a gateway's restart: from draining to drained, and from SIGTERM on.
 MARKS = {
     f"{ShutdownEvent.PAUSE.value}: {ShutdownState.REJECTING.value}": "paused",
     f"{ShutdownEvent.NOTICE_ELAPSED.value}: {ShutdownState.PAUSED.value}": "drained",
     f"{ShutdownEvent.TERMINATE.value}: {ShutdownState.TERMINATING.value}": "leaving",
 }
-MOST_LOOKS = 10_000  # at one contract's calls
-ROOM_S = 0.25  # before a contract that found no room is proposed again: the capacity may not be stated yet
-TOLD_S = 4.0  # until what the last requests were short is told
+MOST_LOOKS = 10_000  # lease call durations kept for one contract
+ROOM_S = 0.25  # before a contract rejected for lack of capacity is proposed again: the capacity may not be set yet
+TOLD_S = 4.0  # time until gateways have reported the last units short
 NAME = "lab"
 GROUPS = 8
 
 
 def unplayable(scenario: Scenario) -> str:
-    """Why a scenario cannot be played with real processes; empty where it can."""
+    """Why a scenario cannot be played with real processes; empty if it can."""
     step = next((fault for fault in scenario.faults if fault.word == "step"), None)
     if step is None:
         return ""
@@ -74,7 +73,7 @@
 
 
 class FleetStage:
-    """The part of a stage that is there where the scenario says (fleet on)."""
+    """The part of an emulated run for scenarios with (fleet on)."""
 
     def __init__(
         self,
@@ -94,32 +93,32 @@
         self._client_task: asyncio.Task[None] | None = None
         self.client = PromiseClient(mgmt, scenario.proposals, rng, self.book, clock)
         self.frozen: set[int] = set()
-        self.seen: dict[int, dict[str, Any]] = {}  # the last status of each that answers
+        self.seen: dict[int, dict[str, Any]] = {}  # the latest status of each gateway that answers
         self._leaders: dict[tuple[str, int], set[str]] = {}
         self._broken: dict[int, int] = {}
         self._loss_at: float | None = None
         self._losses: list[
             float
-        ] = []  # when a gateway was lost, or links cut: 2 s after it the floor is not judged
+        ] = []  # times of lost gateways and cut links; the guaranteed rate excludes the 2 s after them
         self.restored_ms: float | None = None
         self._tasks: list[asyncio.Task[None]] = []
         self._roll_tasks: list[asyncio.Task[None]] = []
         self.roll_lost = 0
         self.roll_state: str | None = None
-        self.rolls: list[dict[str, Any]] = []  # those that ended: how long each took, and the least
+        self.rolls: list[dict[str, Any]] = []  # finished rolling restarts, with their duration and the minimum duration
         self._marks: dict[int, dict[str, float]] = {}
-        self._waves: list[float] = []  # each restart by a roll, without the schedule's own time
-        self.fell: Callable[[int], Awaitable[None]] | None = None  # the stage's: kill, and start anew
+        self._waves: list[float] = []  # duration of each gateway's restart, without scheduling delays
+        self.fell: Callable[[int], Awaitable[None]] | None = None  # set by the run: kill a gateway, and start it again
         self.raise_: Callable[[int], Awaitable[None]] | None = None
         self._contract_of: dict[int, ContractText] = {}
         self._books = {text.name: ExpectedLedger(text.rate, text.burst) for text in scenario.contracts}
-        self.contracts: dict[str, dict[str, Any]] = {}  # whether each was admitted, and what became of it
-        self._drawn: dict[tuple[str, int], float] = {}  # by contract and gateway, as told
-        self._lease_ms: dict[str, list[float]] = {}  # of calls for a part, as gateways say at each look
+        self.contracts: dict[str, dict[str, Any]] = {}  # whether each was admitted, and its figures
+        self._drawn: dict[tuple[str, int], float] = {}  # by contract and gateway, as the gateway reports
+        self._lease_ms: dict[str, list[float]] = {}  # durations of lease calls, as the gateways report at each poll
         self._told_short: dict[str, float] = {}
 
     def file(self, me: int) -> str:
-        """The [fleet] section of one gateway's file: it reaches the others by the laboratory's links."""
+        """The [fleet] section of one gateway's file; it reaches the other members through the faulty links."""
         scenario = self.scenario
         lines = [
             "[fleet]",
@@ -147,21 +146,23 @@
         return "\n".join(lines)
 
     def capacity(self) -> float:
-        """Units a second that the servers carry."""
+        """Units a second that the servers can process."""
         scenario = self.scenario
         calls = scenario.servers * CORES * 2000.0 / sum(scenario.work_ms)
         return calls * sum(sum(crowd.units) / 2.0 for crowd in scenario.crowds) / max(len(scenario.crowds), 1)
 
-    # What is seen ---------------------------------------------------------------------------------------
+    # Observation ----------------------------------------------------------------------------------------
 
     async def founded(self) -> None:
-        """Wait until all gateways are one fleet whose groups have their copies."""
+        """Wait until the cluster is founded and all groups have complete replicas."""
         if not await self.until(self.whole, FOUNDED_S):
             raise RuntimeError(f"the fleet was not founded within {FOUNDED_S:g} s: {self._state()}")
 
     def begin(self, customers: dict[int, int]) -> None:
-        """Look, make promises, propose the contracts and ask for the rolls.  `customers`: from their
-        number in the text to their own."""
+        """Start polling, the writes, the contracts and the rolling restarts.
+
+        `customers`: ids of the customers, by their number in the scenario.
+        """
         loop, scenario = asyncio.get_running_loop(), self.scenario
         self._tasks.append(loop.create_task(self._watch()))
         if scenario.proposals:
@@ -174,7 +175,7 @@
             self._roll_tasks.append(loop.create_task(self._roll(roll)))
 
     async def call(self, call: str, **fields: Any) -> Answer:
-        """One call, made again through others with the same id until one knows its answer."""
+        """Make a call at a random member, and retry it with the same id until its outcome is known."""
         answer: Answer = None, UNKNOWN
         for _ in range(MOST_TRIES):
             answer = await fleet_call(self._rng.choice(self.mgmt), call, fields)
@@ -249,8 +250,8 @@
         )
 
     def _rolled(self, text: RollText, took: float, kills: list[str]) -> None:
-        """How long it took, and the least that the limits allow, with waves as long as those of this very
-        roll."""
+        """Record a rolling restart's duration, and the minimum that the limits allow if each gateway takes the mean
+        time of this restart."""
         groups = {
             group: tuple(one.partition("/")[0] for one in facts["voters"])
             for status in self.seen.values()
@@ -275,7 +276,7 @@
         )
 
     async def _kill_leader(self, stand: str) -> None:
-        """SIGKILL for the gateway that leads the fleet's own group, which schedules rolls; it comes back
+        """Kill the gateway that leads the cluster's own group, which schedules rolling restarts, and start it again
         later."""
         await self.look()
         leads = {
@@ -298,20 +299,20 @@
         await start(me)
 
     def said(self, me: int, line: str) -> None:
-        """A line of a gateway's log."""
+        """Process a line of a gateway's log."""
         for words, mark in MARKS.items():
             if words in line:
                 self.mark(me, mark)
 
     def mark(self, me: int, what: str) -> None:
-        """A gateway has come so far in being restarted: "ended" and "up" are the stage's to tell."""
+        """Record the time of a phase of a gateway's restart; the run itself reports "ended" and "up"."""
         if what == "paused":
             self._marks[me] = {}
         if me in self._marks:
             self._marks[me][what] = self._clock()
 
     def _back(self, now: float) -> None:
-        """Those that were restarted and whose copies have caught up."""
+        """Record the restarts of gateways whose replicas have caught up."""
         for me, marks in list(self._marks.items()):
             groups = self.seen[me]["groups"] if me in self.seen else {}
             if len(marks) == 5 and groups and all(facts["leader"] for facts in groups.values()):
@@ -320,11 +321,11 @@
 
     @property
     def rolling(self) -> bool:
-        """Whether a roll is not over."""
+        """Whether a rolling restart is in progress."""
         return any(not task.done() for task in self._roll_tasks)
 
     async def rolled(self) -> None:
-        """Wait until the rolls have ended."""
+        """Wait until the rolling restarts have ended."""
         if self._roll_tasks:
             await asyncio.wait(self._roll_tasks, timeout=ROLLED_S)
         for task in self._roll_tasks:
@@ -332,8 +333,10 @@
                 task.result()
 
     def asked(self, customer: int, now: float, units: float, me: int) -> Callable[[str], None]:
-        """A try of a customer at a gateway; the result is told how it ended.  See
-        badgeryoke.testbed.checkers.contract_ledger."""
+        """Record a customer's attempt at a gateway in the ledger of its contract.
+
+        Returns a function to call with the attempt's outcome.  See badgeryoke.testbed.checkers.contract_ledger.
+        """
         text = self._contract_of.get(customer)
         if text is None or not text.from_ms <= now < text.to_ms:
             return lambda kind: None
@@ -347,7 +350,7 @@
         return ended
 
     def cut(self, me: int) -> bool:
-        """Whether a gateway is joined to no more than half of them."""
+        """Whether a gateway is connected to no majority of the gateways, itself included."""
         return 2 * sum(
             other == me or self.links.joined(me, other) for other in range(self.scenario.gateways)
         ) <= (self.scenario.gateways)
@@ -379,7 +382,7 @@
             await asyncio.sleep(LOOK_S)
 
     async def look(self) -> None:
-        """Ask each that runs where it stands."""
+        """Poll the status of each running gateway."""
         up = [me for me, gateway in enumerate(self.gateways) if gateway.running and me not in self.frozen]
         answers = await asyncio.gather(
             *(fleet_call(self.mgmt[me], "Status", {"id": "status"}, STATUS_S) for me in up)
@@ -389,14 +392,14 @@
         for me, status in self.seen.items():
             ended = any(
                 "invariant-broken" in error for error in status.get("errors", ())
-            )  # it has no part any more
+            )  # its cluster service has stopped
             self._broken[me] = max(self._broken.get(me, 0), int(status.get("broken", 0)), int(ended))
             for name, stake in status.get("contracts", {}).items():
                 self._drawn[name, me] = max(self._drawn.get((name, me), 0.0), stake["drawn"])
                 if stake["asked"] > 0.0 and len(took := self._lease_ms.setdefault(name, [])) < MOST_LOOKS:
                     took.append(stake["call_ms"])
             for group, facts in status["groups"].items():
-                if facts["behind"] is not None:  # it leads
+                if facts["behind"] is not None:  # this gateway leads the group
                     self._leaders.setdefault((group, facts["term"]), set()).add(status["me"])
         if not self.majority():
             self.book.excuse(now)
@@ -408,8 +411,8 @@
             self._loss_at = None
 
     def whole(self) -> bool:
-        """Whether each group has a leader that says so: all copies there, on members that run, and none
-        behind."""
+        """Whether, by the status of its leader, each group has all its replicas on running members, and none is
+        lagging."""
         ids = {status["me"] for status in self.seen.values()}
         count = replica_count(self.scenario.copies, self.scenario.gateways)
         for group in (FLEET, *(f"g{number}" for number in range(GROUPS))):
@@ -433,7 +436,7 @@
         return json.dumps(self.seen, sort_keys=True)[:2000]
 
     def majority(self) -> bool:
-        """Whether more than half of all gateways run and hear each other."""
+        """Whether a majority of all gateways is running and connected."""
         up = [me for me, gateway in enumerate(self.gateways) if gateway.running and me not in self.frozen]
         return any(
             2 * sum(other == me or self.links.joined(me, other) for other in up) > self.scenario.gateways
@@ -441,14 +444,14 @@
         )
 
     async def until_whole(self) -> bool:
-        """Put a fault off until the copies are whole again; it is left out where they are not in time."""
+        """Wait until all replicas are complete; False if they are not in time, so that the fault is skipped."""
         good = await self.until(self.whole, WHOLE_S)
         if not good:
             self._event("not whole", state=self._state())
         return good
 
     async def until(self, good: Callable[[], bool], within_s: float) -> bool:
-        """Look until it is so."""
+        """Poll until `good` holds; False if it does not within `within_s`."""
         loop = asyncio.get_running_loop()
         end = loop.time() + within_s
         while loop.time() < end:
@@ -458,10 +461,10 @@
             await asyncio.sleep(LOOK_S)
         return False
 
-    # What is done ---------------------------------------------------------------------------------------
+    # Faults ---------------------------------------------------------------------------------------------
 
     async def happen(self, fault: Fault) -> None:
-        """A fault of the links or of one gateway; a process that it ends or starts is the stage's matter."""
+        """Inject a fault of the links or of one gateway; the run itself ends and starts processes."""
         if fault.word in ("kill", "lose", "spoil", "freeze", "cut"):
             self._losses.append(self._clock())
         if fault.target == "gateways":
@@ -484,7 +487,7 @@
             self._loss_at = self._clock() if self._loss_at is None else self._loss_at
 
     async def finish(self) -> None:
-        """Mend all, let what is under way come to its end, and read back what was promised."""
+        """Remove all faults, wait for calls in flight, and read the acknowledged writes back."""
         self.client.asking = False
         self.links.mend()
         for me in sorted(self.frozen):
@@ -503,8 +506,8 @@
                 for name, one in value["contracts"].items():
                     self._told_short[name] = sum(one["short"].values())
                     book, took = self._books[name], sorted(self._lease_ms.get(name, [0.0]))
-                    # By the gateways' own count of what they drew, in which nothing is that was served as to
-                    # anybody.
+                    # The gateways' own count of units drawn, which excludes requests served without a
+                    # reservation.
                     drawn = sum(units for (contract, _), units in self._drawn.items() if contract == name)
                     due = sum(due for due, _ in book.times)
                     lacked = one["short"].get("no lease", 0.0)
@@ -527,14 +530,14 @@
         await self.client.read_back(READ_S + READ_EACH_S * len(self.book.acknowledged))
 
     def close(self) -> None:
-        """Look no more, and break the links off."""
+        """Stop polling and close the links."""
         for task in (*self._tasks, *self._roll_tasks, self._client_task):
             if task is not None:
                 task.cancel()
         self.links.close()
 
     def figures(self, servers: list[LoadServer]) -> FleetFigures:
-        """All that was seen."""
+        """The figures of the run."""
         book, scenario = self.book, self.scenario
         return FleetFigures(
             promises_acknowledged=len(book.acknowledged),
--- a/badgeryoke/testbed/emulator/counter.py
+++ b/badgeryoke/testbed/emulator/counter.py
@@ -1,5 +1,6 @@
-"""The counter on sockets: one listener a gateway, so that a split can be made by gateway; what it holds and
-all that happens to it is the model of simulated time, by the wall clock.
+"""The counter on sockets: one listener for each gateway, so that faults can separate single gateways from it.
+
+Its contents and faults are those of the simulator's `CounterModel`, run in real time.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class CounterStage:
-    """All listeners of the counter."""
+    """The counter's listeners, one for each gateway, and their connections."""
 
     def __init__(self, model: CounterModel, gateways: int) -> None:
         self.model, self._gateways = model, gateways
@@ -23,7 +24,7 @@
         self.calls = 0
 
     async def open(self) -> None:
-        """Listen at fresh ports."""
+        """Listen on ports that the system chooses."""
         self.begun = asyncio.get_running_loop().time()
         self.ports = [await self._listen(gateway, 0) for gateway in range(self._gateways)]
 
@@ -35,7 +36,7 @@
         return int(made.sockets[0].getsockname()[1])
 
     def close(self) -> None:
-        """Listen no more and break all connections off."""
+        """Close all listeners and connections."""
         for made in self._listeners:
             made.close()
         self._listeners.clear()
@@ -43,7 +44,7 @@
             link.end()
 
     async def happen(self, fault: Fault) -> None:
-        """One fault, now."""
+        """Inject a fault."""
         self.model.happen(self.now, fault)
         if fault.word == "kill" and fault.mode != "part":
             self.close()
@@ -53,12 +54,12 @@
 
     @property
     def now(self) -> float:
-        """The model's time, ms."""
+        """The model's time: ms since `open`."""
         return (asyncio.get_running_loop().time() - self.begun) * 1000.0
 
 
 class _Link(Peer):
-    """One connection of a gateway.  Answers keep the order of the calls."""
+    """One connection of a gateway; replies keep the order of the calls."""
 
     def __init__(self, owner: CounterStage, gateway: int) -> None:
         super().__init__()
--- a/badgeryoke/testbed/emulator/discovery_agent.py
+++ b/badgeryoke/testbed/emulator/discovery_agent.py
@@ -1,4 +1,5 @@
-"""Discovery's agent: one HTTP listener a gateway, the whole list, and watches that wait."""
+"""The service discovery agent: an HTTP listener for each gateway, which serves the complete endpoint list and long
+polls for changes."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 
 
 class Agent(asyncio.Protocol):
-    """One connection; `body` is the list as this gateway sees it."""
+    """One connection; `body` is the endpoint list as this gateway sees it."""
 
     def __init__(self, body: bytes, version: int) -> None:
         self._body, self._version = body, version
@@ -23,7 +24,7 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer each complete request; a watch is answered without changes when its wait is over."""
+        """Answer each complete request; a long poll is answered without changes when its wait ends."""
         self._held += data
         while b"\r\n\r\n" in self._held:
             head, self._held = self._held.split(b"\r\n\r\n", 1)
@@ -37,7 +38,7 @@
             )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the pending watch."""
+        """Cancel the pending long poll."""
         self._transport = None
         if self._timer is not None:
             self._timer.cancel()
@@ -51,7 +52,10 @@
 
 
 def roster(addresses: dict[int, str], cold: Iterable[int] = (), started_ms: int = 0) -> bytes:
-    """The list, from each server's number to its address; the cold ones started at a Unix time in ms."""
+    """The endpoint list of the servers, given by number and address.
+
+    `cold`: servers that started at `started_ms` (Unix time in ms) and are warming up.
+    """
     fresh = set(cold)
     servers = [
         {
--- a/badgeryoke/testbed/emulator/faulty_links.py
+++ b/badgeryoke/testbed/emulator/faulty_links.py
@@ -1,10 +1,10 @@
-"""The laboratory's own links between gateways: each ordered pair has a port on loopback, and what goes wrong
-on the way from one to another is set by that pair.
+"""A TCP proxy between the gateways, which injects network faults: each ordered pair of gateways has a port on
+loopback and its own faults.
 
-Gateway i reaches j by the port (i, j); what i says to j goes by the way i -> j, and what j says back on the
-same connection by j -> i, so that a one-way cut is one way whoever has called.  A cut swallows: both ends
-keep their halves of the connection, as on a real network, until the way is mended; a connection that lost
-bytes on it is then broken off, since TCP would not have gone on behind the gap either.
+Gateway i connects to j through the port (i, j).  Bytes from i to j are subject to the faults of i -> j, bytes
+sent back on the same connection to those of j -> i, so that a one-way cut has one direction whichever gateway
+connected.  A cut drops bytes silently: both ends keep their connections, as on a real network, until the link is
+mended.  A connection that lost bytes is then aborted, since TCP would not continue after the gap either.
 """
 
 from __future__ import annotations
@@ -18,38 +18,38 @@
 
 from badgeryoke.testbed.scenario.model import Fault
 
-MOST_HELD = 1024 * 1024  # bytes on their way in one direction of one connection; then the sender has to wait
-MOST_PIECE = 64 * 1024  # a read takes at the most, so that a narrow way is shared
+MOST_HELD = 1024 * 1024  # of one direction of one connection; reading pauses above it
+MOST_PIECE = 64 * 1024  # largest piece forwarded at once, so that connections share a narrow link
 CONNECT_S = 2.0
 
 
 @dataclass
 class Way:
-    """What happens to bytes from one gateway to another."""
+    """The faults of the link from one gateway to another."""
 
     cut: bool = False
     delay_ms: float = 0.0
-    resets: float = 0.0  # a second
-    bytes_s: float = 0.0  # bandwidth; 0: no bound
-    free_at: float = 0.0  # when a narrow way has carried all that it was given
-    lost: int = 0  # bytes that were swallowed
+    resets: float = 0.0  # rate of connection resets a second
+    bytes_s: float = 0.0  # bandwidth; 0: unlimited
+    free_at: float = 0.0  # time at which a narrow link has sent all bytes queued so far
+    lost: int = 0  # bytes dropped by cuts
 
 
 class Links:
-    """All ways, listeners and connections between gateways.  Gateways are numbered from 0 here."""
+    """All links, listeners and connections between gateways, which are numbered from 0 here."""
 
     def __init__(self, gateways: int, rng: random.Random) -> None:
         self.gateways, self._rng = gateways, rng
         self.ways = {(i, j): Way() for i in range(gateways) for j in range(gateways) if i != j}
         self.ports: dict[tuple[int, int], int] = {}
-        self.targets: dict[int, tuple[str, int]] = {}  # where each really listens
+        self.targets: dict[int, tuple[str, int]] = {}  # listen address of each gateway
         self.open: dict[_Pair, None] = {}
         self._listeners: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._timers: dict[tuple[int, int], asyncio.TimerHandle] = {}
 
     async def listen(self) -> None:
-        """One port for each ordered pair."""
+        """Open one listener for each ordered pair."""
         loop = asyncio.get_running_loop()
         for pair in self.ways:
             made = await loop.create_server(
@@ -62,14 +62,14 @@
             self.ports[pair] = int(made.sockets[0].getsockname()[1])
 
     def connect(self, pair: _Pair) -> None:
-        """Someone has called: call whom it meant."""
+        """Connect an accepted connection to the gateway that it is meant for."""
         self.open[pair] = None
         task = asyncio.get_running_loop().create_task(pair.connect(self.targets[pair.called]))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def happen(self, fault: Fault) -> None:
-        """One fault of the scenario, now."""
+        """Inject a fault of the scenario."""
         if fault.word == "mend":
             self.mend()
             return
@@ -90,7 +90,7 @@
                 self._time_reset(key)
 
     def mend(self) -> None:
-        """Every way is sound again, and what lost bytes on it breaks off."""
+        """Remove all faults, and abort the connections that lost bytes."""
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
@@ -115,11 +115,11 @@
         self._time_reset(key)
 
     def joined(self, first: int, second: int) -> bool:
-        """Whether each hears the other."""
+        """Whether neither direction between two gateways is cut."""
         return not (self.ways[first, second].cut or self.ways[second, first].cut)
 
     def close(self) -> None:
-        """Listen no more and break all off."""
+        """Close all listeners and connections."""
         self.mend()
         for made in self._listeners:
             made.close()
@@ -130,17 +130,17 @@
 
 
 class _Pair:
-    """One connection that `caller` made to `called`, as its two ends on this side."""
+    """One proxied connection from `caller` to `called`: the proxy's connections to both."""
 
     def __init__(self, owner: Links, caller: int, called: int) -> None:
         self.owner, self.caller, self.called = owner, caller, called
         self.ends: list[_End | None] = [None, None]
-        self.waits = False  # for an answer that a cut keeps away
+        self.waits = False  # whether the connection to `called` was delayed by a cut
         self.ended = False
 
     async def connect(self, address: tuple[str, int]) -> None:
-        """The far half.  Through a cut nobody is reached; the near half stays, as SYNs would go
-        unanswered."""
+        """Connect to `called` once no direction is cut; until then the caller's connection stays open, as SYNs
+        would remain unanswered."""
         while not self.ended and not self.owner.joined(self.caller, self.called):
             self.waits = True
             await asyncio.sleep(0.02)
@@ -154,7 +154,7 @@
             self.end()
 
     def end(self, reset: bool = False) -> None:
-        """Break both halves off; with a reset, both ends hear an error instead of an end."""
+        """Abort both connections; with `reset`, both gateways receive RST instead of FIN."""
         self.ended = True
         self.owner.open.pop(self, None)
         for end in self.ends:
@@ -165,7 +165,7 @@
 
 
 class _End(asyncio.Protocol):
-    """One half: 0 is the caller's, 1 the called one's."""
+    """The proxy's connection to one gateway: side 0 is the caller's, side 1 that of the called gateway."""
 
     def __init__(self, pair: _Pair, side: int) -> None:
         self._pair, self._side = pair, side
@@ -174,11 +174,11 @@
         self._way = pair.owner.ways[sender, receiver]
         self._held: deque[tuple[float, bytes]] = (
             deque()
-        )  # read here, for the other end, with when it is due there
+        )  # bytes for the other side, and when they are due there
         self._bytes = 0
         self._timer: asyncio.TimerHandle | None = None
         self._finished = self._full = False
-        self.gap = False  # bytes were swallowed
+        self.gap = False  # bytes were dropped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -210,14 +210,14 @@
         self.forward()
 
     def forward(self) -> None:
-        """Hand on what is due to the other end."""
+        """Write the bytes that are due to the other side."""
         other, loop = self._pair.ends[1 - self._side], asyncio.get_running_loop()
         if other is None or other.transport is None or other.transport.is_closing():
             return
         while self._held and self._held[0][0] <= loop.time() and not other._full:
             _, piece = self._held.popleft()
             self._bytes -= len(piece)
-            if self._way.cut:  # what is on its way when the cut comes is lost as well
+            if self._way.cut:  # bytes in flight when the cut begins are dropped as well
                 self._way.lost += len(piece)
                 self.gap = True
             else:
@@ -236,7 +236,7 @@
                 other.transport.write_eof()
 
     def pause_writing(self) -> None:
-        """Its reader is slow, or frozen: what is for it waits on the other side."""
+        """Called when the gateway reads slowly or is frozen: bytes for it stay queued."""
         self._full = True
 
     def resume_writing(self) -> None:
@@ -245,7 +245,7 @@
             other.forward()
 
     def eof_received(self) -> bool:
-        """The other end hears of it behind all that was said, and nothing through a cut."""
+        """Forward the end of the stream after all queued bytes; a cut drops it."""
         self.gap = self.gap or self._way.cut
         self._finished = not self.gap
         self.forward()
@@ -255,7 +255,7 @@
         if self._timer is not None:
             self._timer.cancel()
         self.transport = None
-        # A reset does not get through a cut either: the other half stays open, and hears nothing more.
+        # A cut drops a reset as well: the other side's connection stays open and receives nothing more.
         if self._way.cut and not self._pair.ended:
             self.gap = True
         else:
--- a/badgeryoke/testbed/emulator/key_value_load.py
+++ b/badgeryoke/testbed/emulator/key_value_load.py
@@ -1,8 +1,8 @@
-"""Small promises at random members, and the referee's book of them.
+"""A load of small key-value writes at random members, and the ledger of their outcomes.
 
-The book holds what the client saw alone: a promise counts as acknowledged once a member has said so, and at
-the end each of these is read back through the members.  Names are never used twice, so that an answer which
-tells of an older value under the name is a promise that took effect twice.
+The ledger relies on nothing but the client's calls: a write counts as acknowledged once a member has answered so,
+and at the end each acknowledged write is read back through the members.  Names are unique, so that a response
+with a previous value under the name shows that the write took effect twice.
 """
 
 from __future__ import annotations
@@ -16,29 +16,29 @@
 from typing import Any
 
 Address = tuple[str, int]
-# What a member said: its value and "", or None and the error's code ("unknown-outcome" where no answer came).
+# A member's answer: its value and "", or None and the error code ("unknown-outcome" without an answer).
 Answer = tuple[Any, str]
-ANSWER_S = 3.0  # for one call; a member itself gives a call up after two
-AGAIN_S = 0.05  # before a call is made again
+ANSWER_S = 3.0  # timeout of one call; a member's own is 2 s
+AGAIN_S = 0.05  # before a call is retried
 MOST_TRIES = 12
-MOST_OPEN = 500  # promises under way; at the bound none is begun, and the book says so
+MOST_OPEN = 500  # writes in flight; above it, writes are held back and counted
 MOST_ANSWER = 1024 * 1024
-AT_ONCE = 8  # reads at the end
+AT_ONCE = 8  # concurrent reads at the end
 UNKNOWN = "unknown-outcome"
-NOBODY = "nobody-listens"  # the call was not taken for certain
+NOBODY = "nobody-listens"  # the connection was refused, so the call was certainly not received
 AGAIN = (
     "no-leader",
     "crowded",
     "new-incarnation",
     NOBODY,
     UNKNOWN,
-)  # errors behind which the same call is made again
+)  # errors after which the same call is retried
 
 
 async def fleet_call(
     address: Address, call: str, fields: dict[str, Any], within_s: float = ANSWER_S
 ) -> Answer:
-    """One FLEET call at a gateway's second address."""
+    """Make one FLEET call at a gateway's management address."""
     writer: asyncio.StreamWriter | None = None
     line = b"FLEET %b\n" % json.dumps({"call": call, **fields}).encode()
     try:
@@ -57,7 +57,7 @@
 
 
 def read_answer(said: bytes) -> Answer:
-    """What the one line of an answer says."""
+    """Parse the line of an answer."""
     word, _, rest = said.decode(errors="replace").strip().partition(" ")
     if word == "-ERR":
         try:
@@ -74,31 +74,31 @@
 
 @dataclass
 class Book:
-    """What became of the promises; times in ms by the referee's clock."""
+    """The outcomes of all writes; times in ms since the load began."""
 
-    group_of: Callable[[str], str] = lambda name: ""  # by which the gaps are taken
+    group_of: Callable[[str], str] = lambda name: ""  # group of a name; unavailability is measured by group
     made: int = 0
-    held_back: int = 0  # not begun, since too many were under way
-    acknowledged: dict[str, tuple[str, float]] = field(default_factory=dict)  # name: value, when
+    held_back: int = 0  # writes not started, since too many were in flight
+    acknowledged: dict[str, tuple[str, float]] = field(default_factory=dict)  # by name: value and time of the answer
     refused: Counter[str] = field(default_factory=Counter)
     unknown: set[str] = field(default_factory=set)
     twice: set[str] = field(default_factory=set)
     lost: set[str] = field(default_factory=set)
-    unread: set[str] = field(default_factory=set)  # nobody could read them back at the end
+    unread: set[str] = field(default_factory=set)  # acknowledged, but not readable at the end
     longest_ms: float = 0.0
     longest_at: float = 0.0
     waits: list[float] = field(default_factory=list)
-    errors: Counter[str] = field(default_factory=Counter)  # of single calls, by member and code
-    _open: dict[str, dict[str, float]] = field(default_factory=dict)  # by group: those under way, since when
-    _last: dict[str, float] = field(default_factory=dict)  # by group: the last acknowledgement
+    errors: Counter[str] = field(default_factory=Counter)  # failed calls, by member and error code
+    _open: dict[str, dict[str, float]] = field(default_factory=dict)  # by group and name: start of each write in flight
+    _last: dict[str, float] = field(default_factory=dict)  # by group: time of the latest acknowledgement
 
     def began(self, now: float, name: str) -> None:
-        """A promise is asked for the first time."""
+        """Record the first attempt of a write."""
         self.made += 1
         self._open.setdefault(self.group_of(name), {})[name] = now
 
     def ended(self, now: float, name: str, value: str, answer: Answer) -> None:
-        """Its last answer: acknowledged, refused, or unknown."""
+        """Record the final answer of a write: acknowledged, rejected, or unknown."""
         before, error = answer
         group = self.group_of(name)
         opened = self._open[group]
@@ -115,25 +115,25 @@
         del opened[name]
 
     def _gap(self, now: float, group: str) -> None:
-        """A group without an acknowledgement, though it was asked for one, was away."""
+        """Record the time for which a group with writes in flight has acknowledged none."""
         since = max(next(iter(self._open[group].values()), now), self._last.get(group, 0.0))
         if now - since > self.longest_ms:
             self.longest_ms, self.longest_at = now - since, since
         self._last[group] = now
 
     def excuse(self, now: float) -> None:
-        """No majority was joined up to now: gaps count from here."""
+        """Restart the measurement of unavailability, since no majority of the members was connected."""
         for group in self._open:
             self._last[group] = now
 
     def finish(self, now: float) -> None:
-        """What is still asked for in vain counts as a gap too."""
+        """Count the writes that are still in flight as unavailability, too."""
         for group, opened in self._open.items():
             if opened:
                 self._gap(now, group)
 
     def read(self, name: str, answer: Answer) -> None:
-        """What a member says at the end of one that was acknowledged."""
+        """Compare a read at the end with the acknowledged write."""
         value, error = answer
         if error:
             self.unread.add(name)
@@ -141,7 +141,7 @@
             self.lost.add(name)
 
     def figures(self) -> dict[str, Any]:
-        """Beside the fleet's figures: what else became of the promises, waits in ms."""
+        """Further figures of the writes, with latencies in ms."""
         waits = sorted(self.waits)
         return {
             "made": self.made,
@@ -156,7 +156,7 @@
 
 
 class PromiseClient:
-    """Makes so many promises a second at random members and sees each through."""
+    """Sends writes to random members at a fixed rate, and retries each until its outcome is known."""
 
     def __init__(
         self,
@@ -171,7 +171,7 @@
         self.asking = True
 
     async def call(self, call: str, fields: dict[str, Any]) -> Answer:
-        """One call at a random member."""
+        """Make one call at a random member."""
         member = self._rng.randrange(len(self._addresses))
         answer = await fleet_call(self._addresses[member], call, fields)
         if answer[1]:
@@ -179,7 +179,7 @@
         return answer
 
     async def run(self) -> None:
-        """Until `asking` is taken away; then what is under way is seen to its end."""
+        """Send writes until `asking` is False, then wait for those in flight."""
         loop = asyncio.get_running_loop()
         due = loop.time()
         while self.asking:
@@ -206,11 +206,11 @@
             maybe = maybe or answer[1] == UNKNOWN
             await asyncio.sleep(AGAIN_S)
         if answer[1] and maybe:
-            answer = None, UNKNOWN  # one try at the least may have been taken
+            answer = None, UNKNOWN  # at least one attempt may have taken effect
         self.book.ended(self._clock(), name, value, answer)
 
     async def read_back(self, within_s: float) -> None:
-        """Each acknowledged promise, through one member after another until one answers."""
+        """Read each acknowledged write through random members until one answers."""
         loop = asyncio.get_running_loop()
         until, names = loop.time() + within_s, list(self.book.acknowledged)
 
--- a/badgeryoke/testbed/emulator/process.py
+++ b/badgeryoke/testbed/emulator/process.py
@@ -1,4 +1,4 @@
-"""One real gateway process, started as the platform does: `run`, LB_CONFIG and the rest."""
+"""One real gateway process, started as the platform starts it: `run`, LB_CONFIG and the other variables."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from badgeryoke.testbed.scenario.model import Scenario
 
 ROOT = Path(__file__).resolve().parents[3]
-STORE = "fleet"  # folder of what a gateway holds for the fleet
+STORE = "fleet"  # folder of a gateway's cluster storage
 BELIEF = re.compile(r"counter believed (\w+): ([^\[]*?)(?:, gateways (\[.*\]))?$")
 
 
 def wire_settings(scenario: Scenario, me: int) -> dict[str, Any]:
-    """The settings object that a gateway is told, in the platform's names."""
+    """The settings object of a gateway's configuration file, under the platform's names."""
     return {
         "me": me,
         "instances": scenario.gateways,
@@ -87,7 +87,7 @@
 
 
 class GatewayProcess:
-    """One gateway and what it says."""
+    """One gateway process and its log."""
 
     def __init__(
         self,
@@ -110,7 +110,7 @@
             f"[counter_watch]\nenabled = {watch}\n{fleet}"
         )
         self.store = self._folder / STORE
-        self.wipe()  # of a run before in the same folder
+        self.wipe()  # removes the storage of an earlier run in the same folder
         (self._folder / "log").unlink(missing_ok=True)
         self._mgmt = mgmt
         self._config = self._folder / "config.json"
@@ -134,7 +134,7 @@
         self.peak_kb = 0
 
     async def start(self) -> None:
-        """Start it; what it writes is read as it comes."""
+        """Start the process and read its log while it runs."""
         environ = dict(
             os.environ,
             LB_CONFIG=str(self._config),
@@ -164,7 +164,7 @@
                 self._said(self.me, line.decode(errors="replace").rstrip())
 
     def look(self) -> None:
-        """Note its memory."""
+        """Update the peak memory."""
         if self.process is not None and self.process.returncode is None:
             try:
                 status = Path(f"/proc/{self.process.pid}/status").read_text()
@@ -175,26 +175,27 @@
 
     @property
     def running(self) -> bool:
-        """Whether there is a process, frozen or not."""
+        """Whether the process exists, frozen or not."""
         return self.process is not None and self.process.returncode is None
 
     def freeze(self, on: bool) -> None:
-        """SIGSTOP or SIGCONT."""
+        """Send SIGSTOP or SIGCONT."""
         if self.process is not None and self.running:
             self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
     def fill(self, on: bool) -> None:
-        """No file of its own grows any more, as on a full disk; or there is room again."""
+        """Emulate a full disk: set the process's file size limit to 0, or restore it."""
         if self.process is not None and self.running:
             _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (0 if on else hard, hard))
 
     def wipe(self) -> None:
-        """Its store is gone with its disk."""
+        """Remove the cluster storage, as with a lost disk."""
         shutil.rmtree(self.store, ignore_errors=True)
 
     def spoil(self, rng: random.Random) -> bool:
-        """Flip one bit in the middle half of the largest file of its store; False where there is nothing."""
+        """Flip one bit in the middle half of the largest file of the cluster storage; False if there is no file of
+        16 bytes or more."""
         files = sorted(
             (path for path in self.store.rglob("*") if path.is_file()), key=lambda path: path.stat().st_size
         )
@@ -210,13 +211,13 @@
         return True
 
     async def kill(self) -> None:
-        """SIGKILL, to this process alone, by its id."""
+        """Send SIGKILL to this process and wait for its end."""
         if self.process is not None and self.process.returncode is None:
             self.process.kill()
             await self.process.wait()
 
     async def stop(self) -> None:
-        """SIGTERM; SIGKILL where it has not ended in time."""
+        """Send SIGTERM, and SIGKILL if the process has not ended after 6 s."""
         if self.process is None or self.process.returncode is not None:
             return
         self.freeze(False)
--- a/badgeryoke/testbed/emulator/resp.py
+++ b/badgeryoke/testbed/emulator/resp.py
@@ -1,18 +1,18 @@
-"""RESP2 for the emulator: its own reading and writing, so that a fault in the gateway's parser shows."""
+"""RESP2 for the emulator, implemented independently of the gateway, so that the tests find faults in its parser."""
 
 from __future__ import annotations
 
 import asyncio
 
-MOST_HELD = 4 * 1024 * 1024  # bytes of half messages on a connection; more end it
+MOST_HELD = 4 * 1024 * 1024  # of incomplete values on a connection; more than that closes it
 
 
 class Broken(Exception):
-    """What came is not RESP2."""
+    """The input is not RESP2."""
 
 
 def words(*parts: bytes) -> bytes:
-    """A command: an array of bulk strings."""
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
@@ -30,7 +30,7 @@
         self.begun()
 
     def data_received(self, data: bytes) -> None:
-        """Pass each complete value to `got`; invalid or oversized input ends the connection."""
+        """Pass each complete value to `value_received`; invalid or oversized input ends the connection."""
         self._held += data
         at = 0
         try:
@@ -48,32 +48,32 @@
             self.end()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notify the subclass that the connection is gone."""
+        """Notify the subclass that the connection is closed."""
         self.transport = None
         self.ended()
 
     def write(self, data: bytes) -> None:
-        """Write, where there is still a connection."""
+        """Write if the connection is still open."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def end(self) -> None:
-        """Break the connection off."""
+        """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def begun(self) -> None:
-        """It is connected."""
+        """Called when the connection is open."""
 
     def got(self, value: object) -> None:
-        """A whole value has come."""
+        """Called with each complete value."""
 
     def ended(self) -> None:
-        """The connection is gone."""
+        """Called when the connection is closed."""
 
 
 def _value(data: bytes, at: int) -> tuple[object, int] | None:
-    """One value from a place on, and the place behind it; None where it is not whole yet."""
+    """The value at an offset and the offset after it; None while the value is incomplete."""
     end = data.find(b"\r\n", at)
     if end < 0:
         return None
--- a/badgeryoke/testbed/emulator/run.py
+++ b/badgeryoke/testbed/emulator/run.py
@@ -1,4 +1,4 @@
-"""A scenario on sockets: real gateway processes, everything else emulated, by the wall clock."""
+"""Plays a scenario on sockets in real time, with real gateway processes and everything else emulated."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 from badgeryoke.testbed.scenario.model import Fault, Scenario
 from badgeryoke.testbed.simulation.counter import CounterModel
 
-FRONT_S = 1.5  # after which clients leave a dead gateway
+FRONT_S = 1.5  # time until clients leave a dead gateway
 READY_S = 20.0
-MOST_EVENTS, MOST_SAID = 20_000, 400  # lines of gateways' logs kept with the events, and characters of one
-TEND_S = 0.1  # between two PINGs of the front
+MOST_EVENTS, MOST_SAID = 20_000, 400  # limits of kept events with gateways' log lines, and of a line's length
+TEND_S = 0.1  # between two health checks of the load balancer
 HIGHEST_US = 60_000_000
 
 
 def free_port(host: str) -> int:
-    """A port that nobody listens at, at this moment."""
+    """A port of the host that is free at the moment."""
     with socket.socket() as probe:
         probe.bind((host, 0))
         return int(probe.getsockname()[1])
 
 
 class Stage:
-    """One run.  `show` is told of every belief and of each second's figures as they come."""
+    """One run of a scenario.  `show` is called with every event and with each second's figures."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self.folder = folder or Path(self._temporary.name if self._temporary else ".")
         self.referee = QuotaChecker(scenario.plans, scenario.trouble)
         self.fleet: FleetStage | None = None
-        self._felled: set[int] = set()  # gateways that the laboratory has ended and not started again
+        self._felled: set[int] = set()  # gateways that a fault has killed and that are not started again
         self._tasks: list[asyncio.Task[None]] = []
         self.counter = CounterStage(CounterModel(scenario, self._rng), scenario.gateways)
         self.beliefs: list[Shown] = []
@@ -87,7 +87,7 @@
 
     @property
     def now(self) -> float:
-        """The referee's time, ms since clients began."""
+        """Time of the run: ms since the clients began."""
         return (asyncio.get_running_loop().time() - self._begun) * 1000.0
 
     def _event(self, kind: str, **fields: Any) -> None:
@@ -96,8 +96,8 @@
         self._show(event)
 
     async def play(self) -> Result:
-        """The whole run."""
-        gc.disable()  # a pause of the emulator would look like one of the gateways
+        """Play the whole scenario."""
+        gc.disable()  # a pause of the emulator would be measured as one of the gateways
         try:
             await self.open()
             await self._run()
@@ -107,13 +107,13 @@
         return conclude(self.scenario, self.seed, self.referee, self.beliefs, self.counter.calls, 0.0)
 
     async def open(self) -> None:
-        """Start all parties, and wait until they see each other; then the referee's time begins."""
+        """Start all parties and wait until the gateways have discovered each other; then the run's time begins."""
         scenario, loop = self.scenario, asyncio.get_running_loop()
         await self.counter.open()
         for server in self._servers:
             await server.open(scenario.gateways)
         self._agents = []
-        # A gateway's addresses: for clients, for its operators, for the others of its fleet.
+        # A gateway has three addresses: for clients, for management, and for the other members of the cluster.
         hosts = [f"127.0.1.{me % 250 + 1}" for me in range(scenario.gateways)]
         mgmt = [(host, free_port(host)) for host in hosts]
         if scenario.fleet:
@@ -157,7 +157,7 @@
             )
         self._begun = loop.time()
         await asyncio.gather(*(self._start(me) for me in range(min(scenario.started, scenario.gateways))))
-        await asyncio.sleep(1.3)  # until every gateway has seen the others, as on any day but the first
+        await asyncio.sleep(1.3)  # until the gateways have discovered each other, so that the run has no cold start
         if self.fleet is not None:
             await self.fleet.founded()
         self._begun = loop.time()
@@ -180,7 +180,7 @@
             self.fleet.mark(me, "up")
 
     async def _fell(self, me: int) -> None:
-        """SIGKILL; clients learn of it as of a machine's end."""
+        """Kill a gateway; its clients lose their connections and queued attempts."""
         self._felled.add(me)
         self._dead_at[me] = self.now
         await self._gateways[me].kill()
@@ -220,7 +220,7 @@
 
     @property
     def _rolling(self) -> bool:
-        """Clients go on asking while a roll is under way: it is to lose none of their queries."""
+        """Whether a rolling restart is in progress: clients go on meanwhile, since it must not lose their queries."""
         return (
             self.fleet is not None
             and self.fleet.rolling
@@ -228,7 +228,7 @@
         )
 
     async def happen(self, fault: Fault) -> None:
-        """One fault, now."""
+        """Inject a fault."""
         if fault.target == "counter":
             await self.counter.happen(fault)
             return
@@ -247,8 +247,8 @@
             await self._start(me)
 
     async def _tend(self) -> None:
-        """What an installation has beside the gateways: a front that asks each for PING and sends clients
-        only to those that say yes, and a supervisor that starts anew what has ended by itself."""
+        """Emulate a load balancer, which health-checks the gateways with PING and sends clients only to ready ones,
+        and a supervisor, which restarts gateways that ended by themselves."""
         while True:
             for me, gateway in enumerate(self._gateways):
                 if not gateway.running and me not in self._felled:
@@ -265,7 +265,7 @@
             await asyncio.sleep(TEND_S)
 
     async def close(self) -> None:
-        """End all that was started."""
+        """Stop all processes, listeners and tasks."""
         self._looking = False
         for task in self._tasks:
             task.cancel()
@@ -281,7 +281,7 @@
             self._temporary.cleanup()
 
     def _look(self, due: float) -> None:
-        """Once in 100 ms: how late this process runs, and what the gateways hold."""
+        """Every 100 ms, measure this process's lag; every second, measure the gateways' memory and show figures."""
         loop = asyncio.get_running_loop()
         self.worst_lag_ms = max(self.worst_lag_ms, (loop.time() - due) * 1000.0)
         if int(self.now) // 1000 != int(self.now - 100) // 1000:
@@ -372,7 +372,7 @@
         self.referee.attempt_arrived(self.now, rid, customer, fields["t"], float(fields["units"]), gateway)
 
     def _said(self, me: int, line: str) -> None:
-        """A line of a gateway's log."""
+        """Process a line of a gateway's log."""
         if self.fleet is not None:
             self.fleet.said(me, line)
         found = BELIEF.search(line)
@@ -393,7 +393,7 @@
         )
 
     def extra_figures(self) -> dict[str, Any]:
-        """Figures that only sockets have: latencies in ms, memory in MB, how late the emulator ran in ms."""
+        """Figures that only emulated runs have: latencies in ms, memory in MB, lag of the emulator in ms."""
         return {
             "latency_ms": {
                 kind: {
@@ -417,5 +417,5 @@
         }
 
     def fleet_figures(self) -> FleetFigures:
-        """What the fleet's part of the run came to; all empty where there is none."""
+        """The figures of the cluster; all empty for a scenario without one."""
         return self.fleet.figures(self._servers) if self.fleet is not None else FleetFigures()
--- a/badgeryoke/testbed/emulator/servers.py
+++ b/badgeryoke/testbed/emulator/servers.py
@@ -1,4 +1,4 @@
-"""Load servers: cores, a waiting room, cold start, busy refusals, and load reports that come late."""
+"""Emulated servers: cores, a bounded queue, slow start, BUSY rejections, and outdated load reports."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from badgeryoke.testbed.emulator.resp import Peer
 
-REPORT_MS = (120.0, 740.0)  # between two refreshings of what a server says of its load
+REPORT_MS = (120.0, 740.0)  # between two updates of the load that a server reports
 CORES = 2
 COLD_PART, WARM_MS = 0.25, 10_000.0
 
-# Told of each command: customer, request id, its fields, which gateway's address it came to.
+# Called for each command with the customer, the request id, the fields, and the gateway whose address it came to.
 Arrived = Callable[[int, str, dict[str, str], int], None]
 
 
 class LoadServer:
-    """One server; every gateway reaches it at an address of its own, so that the referee knows who sent."""
+    """One server.  Each gateway has its own address for it, so that the quota checker can attribute requests."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._listeners: list[asyncio.Server] = []
 
     async def open(self, gateways: int) -> None:
-        """Listen, once for each gateway."""
+        """Open one listener for each gateway."""
         loop = asyncio.get_running_loop()
         self._started = loop.time()
         for gateway in range(gateways):
@@ -58,12 +58,12 @@
             self.ports[gateway] = made.sockets[0].getsockname()[1]
 
     def close(self) -> None:
-        """Listen no more."""
+        """Close all listeners."""
         for made in self._listeners:
             made.close()
 
     def take(self, link: _Link, gateway: int, command: list[object]) -> None:
-        """One command: queue it on the core that is free first, or turn it away."""
+        """Queue a command on the core that becomes free first, or reject it with BUSY if the queue is full."""
         if len(command) < 4 or command[0] not in (b"SVC.QUERY", b"SVC.SUBMIT"):
             link.write(b"+OK\r\n" if command and command[0] in (b"CLIENT", b"SELECT") else b"-SYNTAX\r\n")
             return
@@ -97,7 +97,7 @@
 
 
 class _Link(Peer):
-    """One connection of a gateway; answers leave in the order of the commands."""
+    """One connection of a gateway."""
 
     def __init__(self, owner: LoadServer, gateway: int) -> None:
         super().__init__()
