--- a/badgeryoke/testbed/cluster_benchmark.py
+++ b/badgeryoke/testbed/cluster_benchmark.py
@@ -43,8 +43,8 @@
 from badgeryoke.testbed.cluster_simulation.fault_plan import Plan
 from badgeryoke.testbed.cluster_simulation.generated_plans import play_seed
 from badgeryoke.testbed.cluster_simulation.world import FleetWorld
-from badgeryoke.testbed.emulator.resp import words
-from badgeryoke.testbed.emulator.run import Stage as RealStage
+from badgeryoke.testbed.emulator.resp import encode_command
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.result import DEADLINE_MS
 from badgeryoke.testbed.scenario.model import PlanText, Scenario
 
@@ -347,7 +347,7 @@
     )
 
 
-def _cpu(stage: RealStage) -> float:
+def _cpu(stage: EmulatedRun) -> float:
     """CPU seconds of its first gateway, all threads."""
     process = stage._gateways[0].process
     assert process is not None
@@ -357,7 +357,7 @@
     )
 
 
-async def _queries(stage: RealStage, rate: float, seconds: float) -> dict[str, int]:
+async def _queries(stage: EmulatedRun, rate: float, seconds: float) -> dict[str, int]:
     """Ask its first gateway at an even rate; how they ended."""
     loop, counts, out = asyncio.get_running_loop(), dict[str, int](), [0]
     begun = loop.time()
@@ -368,10 +368,12 @@
 
     for at in range(int(rate * seconds)):
         await asyncio.sleep(max(begun + at / rate - loop.time(), 0.0))
-        stage._rids += 1
+        stage._requests_sent += 1
         out[0] += 1
         fields = f"c=balance-check,t=dealer,d={DEADLINE_MS:.0f},units=1,spread=1,first=0".encode()
-        if not stage._doors[0].ask(words(b"SVC.QUERY", b"%016x" % 1, b"%016x" % stage._rids, fields), done):
+        if not stage._pools[0].submit(
+            encode_command(b"SVC.QUERY", b"%016x" % 1, b"%016x" % stage._requests_sent, fields), done
+        ):
             done("refused", 0.0)
     while out[0]:
         await asyncio.sleep(0.005)
@@ -392,8 +394,8 @@
         counter_calls=1e5,
     )
     stages = {
-        "off": RealStage(base, 1),
-        "on": RealStage(
+        "off": EmulatedRun(base, 1),
+        "on": EmulatedRun(
             replace(base, gateways=members, started=members, fleet=True, halls=2, connections=24), 1
         ),
     }
--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -93,11 +93,11 @@
     Example:
         badgeryoke lab run counter-split --to results/split --json
     """
-    from badgeryoke.testbed.emulator.cluster import unplayable
-    from badgeryoke.testbed.emulator.run import Stage
+    from badgeryoke.testbed.emulator.cluster import unsupported_reason
+    from badgeryoke.testbed.emulator.run import EmulatedRun
 
     text, source = _load(scenario)
-    if why_not := unplayable(text):
+    if why_not := unsupported_reason(text):
         click.echo(f"{scenario}: {why_not}", err=True)
         sys.exit(UNUSABLE)
     if watch is not None:
@@ -108,13 +108,13 @@
         def show(event: dict[str, Any]) -> None:
             progress.update(task, completed=event["at_ms"])
 
-        stage = Stage(text, seed, to / "gateways" if to else None, show)
+        stage = EmulatedRun(text, seed, to / "gateways" if to else None, show)
         try:
             result = asyncio.run(stage.play())
         except (RuntimeError, OSError) as fault:
             click.echo(f"{scenario}: {fault}", err=True)
             sys.exit(FAILED)
-    fleet = stage.fleet_figures()
+    fleet = stage.cluster_figures()
     figures = {**result.figures(), **stage.extra_figures(), **fleet.plain(), "kind": "sockets"}
     if to is not None:
         write_folder(to, text, source, [result], figures, stage.events)
@@ -333,7 +333,7 @@
     Example:
         badgeryoke demo --seconds 20
     """
-    from badgeryoke.testbed.emulator.run import Stage
+    from badgeryoke.testbed.emulator.run import EmulatedRun
 
     text, _ = _load("demo")
     text = replace(text, length_ms=seconds * 1000.0 if seconds > 0 else 24 * 3_600_000.0)
@@ -341,7 +341,7 @@
     with Live(console=console, refresh_per_second=4, screen=False) as live:
         if as_json:
             live.stop()
-        stage = Stage(text, 1, None, _painter(live, as_json))
+        stage = EmulatedRun(text, 1, None, _painter(live, as_json))
         if not as_json:
             console.print(
                 "badgeryoke demo: one real gateway on loopback, everything around it emulated. "
@@ -371,7 +371,7 @@
     loop = asyncio.get_running_loop()
 
     def stop() -> None:
-        stage.asking = False
+        stage.clients_running = False
 
     loop.add_signal_handler(signal.SIGINT, stop)
     result: Result = await stage.play()
--- a/badgeryoke/testbed/emulator/clients.py
+++ b/badgeryoke/testbed/emulator/clients.py
@@ -8,16 +8,16 @@
 from collections import deque
 from collections.abc import Callable
 
-from badgeryoke.testbed.emulator.resp import Peer, words
+from badgeryoke.testbed.emulator.resp import RespConnection, encode_command
 
-MOST_CONNECTIONS = 250  # to one gateway; further attempts are queued
-MOST_WAITING = 5000
+MAX_CONNECTIONS = 250  # to one gateway; further attempts are queued
+MAX_QUEUED = 5000
 # Called with an attempt's outcome (served, refused, failed, or lost with the connection) and, for a rejected one, the
 # Retry-After in ms.
-Done = Callable[[str, float], None]
+AttemptCallback = Callable[[str, float], None]
 
 
-class Door:
+class ClientPool:
     """The connections from all clients to one gateway.
 
     `up`: whether the load balancer in front of the gateways sends clients to this one.
@@ -25,99 +25,99 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
-        self._idle: list[_Client] = []
-        self._open = 0
-        self._waiting: deque[tuple[bytes, Done]] = deque()
+        self._idle: list[_ClientConnection] = []
+        self._open_connections = 0
+        self._queued: deque[tuple[bytes, AttemptCallback]] = deque()
         self.up = False
 
-    def ask(self, data: bytes, done: Done) -> bool:
+    def submit(self, data: bytes, done: AttemptCallback) -> bool:
         """Send or queue an attempt and return True; `done` is called once.  Returns False if the gateway is down
         or the queue is full."""
-        if not self.up or len(self._waiting) >= MOST_WAITING:
+        if not self.up or len(self._queued) >= MAX_QUEUED:
             return False
         while self._idle:
             client = self._idle.pop()
-            if client.usable():
+            if client.is_usable():
                 client.send(data, done)
                 return True
-        self._waiting.append((data, done))
-        if self._open < MOST_CONNECTIONS:
-            self._open += 1
+        self._queued.append((data, done))
+        if self._open_connections < MAX_CONNECTIONS:
+            self._open_connections += 1
             asyncio.get_running_loop().create_task(self._connect())
         return True
 
     async def _connect(self) -> None:
         try:
-            await asyncio.get_running_loop().create_connection(lambda: _Client(self), *self.address)
+            await asyncio.get_running_loop().create_connection(lambda: _ClientConnection(self), *self.address)
         except OSError:
-            self._open -= 1
-            if not self._open:
-                self.drop()
+            self._open_connections -= 1
+            if not self._open_connections:
+                self.fail_queued()
 
-    def free(self, client: _Client) -> None:
+    def connection_idle(self, client: _ClientConnection) -> None:
         """Give an idle connection the first queued attempt, or keep it for later."""
-        if self._waiting:
-            data, done = self._waiting.popleft()
+        if self._queued:
+            data, done = self._queued.popleft()
             client.send(data, done)
         else:
             self._idle.append(client)
 
-    def gone(self) -> None:
+    def connection_closed(self) -> None:
         """Account for a closed connection; reconnect if it was the last one and attempts are queued."""
-        self._open -= 1
-        if not self._open and self._waiting:
-            self._open += 1
+        self._open_connections -= 1
+        if not self._open_connections and self._queued:
+            self._open_connections += 1
             asyncio.get_running_loop().create_task(self._connect())
 
-    def drop(self) -> None:
+    def fail_queued(self) -> None:
         """End all queued attempts as lost, since the gateway does not listen."""
-        while self._waiting:
-            self._waiting.popleft()[1]("lost", 0.0)
+        while self._queued:
+            self._queued.popleft()[1]("lost", 0.0)
 
-    async def ping(self, within_s: float) -> bool:
+    async def ping(self, timeout_s: float) -> bool:
         """Whether the gateway answers PING with PONG within `within_s`; PING is sent at least once."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + within_s
+        deadline = loop.time() + timeout_s
         while True:
-            said: asyncio.Future[object] = loop.create_future()
+            reply: asyncio.Future[object] = loop.create_future()
             try:
                 transport, _ = await loop.create_connection(
-                    lambda said=said: _Ping(said),  # type: ignore[misc]
+                    lambda reply=reply: _PingConnection(reply),  # type: ignore[misc]
                     *self.address,
                 )
-                got = await asyncio.wait_for(said, 1.0)
+                answer = await asyncio.wait_for(reply, 1.0)
                 transport.close()
-                if got == "+PONG":
+                if answer == "+PONG":
                     return True
             except (OSError, TimeoutError):
                 pass
-            if loop.time() >= until:
+            if loop.time() >= deadline:
                 return False
             await asyncio.sleep(0.05)
 
 
-class _Ping(Peer):
-    def __init__(self, said: asyncio.Future[object]) -> None:
+class _PingConnection(RespConnection):
+    def __init__(self, reply: asyncio.Future[object]) -> None:
         super().__init__()
-        self._said = said
+        self._reply = reply
 
-    def begun(self) -> None:
-        self.write(words(b"PING"))
+    def connected(self) -> None:
+        self.write(encode_command(b"PING"))
 
-    def got(self, value: object) -> None:
-        if not self._said.done():
-            self._said.set_result(value)
+    def value_received(self, value: object) -> None:
+        if not self._reply.done():
+            self._reply.set_result(value)
 
 
-class _Client(Peer):
+class _ClientConnection(RespConnection):
     """One connection, with one attempt at a time."""
 
-    def __init__(self, door: Door) -> None:
+    def __init__(self, pool: ClientPool) -> None:
         super().__init__()
-        self._door = door
-        self._done: Done | None = None
+        self._pool = pool
+        self._on_done: AttemptCallback | None = None
 
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         """Whether the gateway has kept the connection open.
 
         Unread input on an idle connection is its end, which this process may be late to read; a client with its
@@ -125,36 +125,36 @@
         """
         if self.transport is None or self.transport.is_closing():
             return False
-        look = select.poll()
-        look.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
-        return not look.poll(0)
+        poller = select.poll()
+        poller.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
+        return not poller.poll(0)
 
-    def send(self, data: bytes, done: Done) -> None:
+    def send(self, data: bytes, done: AttemptCallback) -> None:
         """Send one attempt."""
-        self._done = done
+        self._on_done = done
         self.write(data)
 
-    def begun(self) -> None:
-        self._door.free(self)
+    def connected(self) -> None:
+        self._pool.connection_idle(self)
 
-    def got(self, value: object) -> None:
-        done, self._done = self._done, None
+    def value_received(self, value: object) -> None:
+        done, self._on_done = self._on_done, None
         if done is None:
-            self.end()
+            self.abort()
             return
         served = isinstance(value, bytes) or (
             isinstance(value, list) and bool(value) and isinstance(value[0], bytes)
         )
-        refused = isinstance(value, str) and value.startswith("-BUSY")
-        wait = value.split(" ")[1:2] if refused and isinstance(value, str) else []
+        rejected = isinstance(value, str) and value.startswith("-BUSY")
+        retry_after = value.split(" ")[1:2] if rejected and isinstance(value, str) else []
         done(
-            "served" if served else "refused" if refused else "failed",
-            float(wait[0]) if wait and wait[0].isdigit() else 0.0,
+            "served" if served else "refused" if rejected else "failed",
+            float(retry_after[0]) if retry_after and retry_after[0].isdigit() else 0.0,
         )
-        self._door.free(self)
+        self._pool.connection_idle(self)
 
-    def ended(self) -> None:
-        done, self._done = self._done, None
+    def disconnected(self) -> None:
+        done, self._on_done = self._on_done, None
         if done is not None:
             done("lost", 0.0)
-        self._door.gone()
+        self._pool.connection_closed()
--- a/badgeryoke/testbed/emulator/counter.py
+++ b/badgeryoke/testbed/emulator/counter.py
@@ -7,43 +7,43 @@
 
 import asyncio
 
-from badgeryoke.testbed.emulator.resp import Peer
+from badgeryoke.testbed.emulator.resp import RespConnection
 from badgeryoke.testbed.scenario.model import Fault
 from badgeryoke.testbed.simulation.counter import CounterModel
 
 
-class CounterStage:
+class CounterServer:
     """The counter's listeners, one for each gateway, and their connections."""
 
     def __init__(self, model: CounterModel, gateways: int) -> None:
         self.model, self._gateways = model, gateways
         self.ports: list[int] = []
         self._listeners: list[asyncio.Server] = []
-        self.links: set[_Link] = set()
-        self.begun = 0.0
+        self.connections: set[_GatewayConnection] = set()
+        self.started_s = 0.0
         self.calls = 0
 
     async def open(self) -> None:
         """Listen on ports that the system chooses."""
-        self.begun = asyncio.get_running_loop().time()
+        self.started_s = asyncio.get_running_loop().time()
         self.ports = [await self._listen(gateway, 0) for gateway in range(self._gateways)]
 
     async def _listen(self, gateway: int, port: int) -> int:
-        made = await asyncio.get_running_loop().create_server(
-            lambda: _Link(self, gateway), "127.0.0.1", port, backlog=64
+        listener = await asyncio.get_running_loop().create_server(
+            lambda: _GatewayConnection(self, gateway), "127.0.0.1", port, backlog=64
         )
-        self._listeners.append(made)
-        return int(made.sockets[0].getsockname()[1])
+        self._listeners.append(listener)
+        return int(listener.sockets[0].getsockname()[1])
 
     def close(self) -> None:
         """Close all listeners and connections."""
-        for made in self._listeners:
-            made.close()
+        for listener in self._listeners:
+            listener.close()
         self._listeners.clear()
-        for link in list(self.links):
-            link.end()
+        for connection in list(self.connections):
+            connection.abort()
 
-    async def happen(self, fault: Fault) -> None:
+    async def inject_fault(self, fault: Fault) -> None:
         """Inject a fault."""
         self.model.happen(self.now, fault)
         if fault.word == "kill" and fault.mode != "part":
@@ -55,35 +55,35 @@
     @property
     def now(self) -> float:
         """The model's time: ms since `open`."""
-        return (asyncio.get_running_loop().time() - self.begun) * 1000.0
+        return (asyncio.get_running_loop().time() - self.started_s) * 1000.0
 
 
-class _Link(Peer):
+class _GatewayConnection(RespConnection):
     """One connection of a gateway; replies keep the order of the calls."""
 
-    def __init__(self, owner: CounterStage, gateway: int) -> None:
+    def __init__(self, server: CounterServer, gateway: int) -> None:
         super().__init__()
-        self._owner, self._gateway = owner, gateway
-        self._last = 0.0
+        self._server, self._gateway = server, gateway
+        self._last_reply_ms = 0.0
 
-    def begun(self) -> None:
-        self._owner.links.add(self)
+    def connected(self) -> None:
+        self._server.connections.add(self)
 
-    def ended(self) -> None:
-        self._owner.links.discard(self)
+    def disconnected(self) -> None:
+        self._server.connections.discard(self)
 
-    def got(self, value: object) -> None:
-        owner = self._owner
+    def value_received(self, value: object) -> None:
+        server = self._server
         if not isinstance(value, list) or not value:
-            self.end()
+            self.abort()
             return
         if value[0] != b"INCRTTL" or len(value) != 4:
             self.write(b"+PONG\r\n" if value[0] == b"PING" else b"-ERR no such call\r\n")
             return
-        owner.calls += 1
-        name, units, life = (part for part in value[1:] if isinstance(part, bytes))
-        now = owner.now
-        answer = owner.model.call(now, self._gateway, int(name), float(units), float(life))
+        server.calls += 1
+        key, units, lifetime_ms = (part for part in value[1:] if isinstance(part, bytes))
+        now = server.now
+        answer = server.model.call(now, self._gateway, int(key), float(units), float(lifetime_ms))
         if answer.fate == "silent":
             return
         if answer.fate in ("full", "refused"):
@@ -93,5 +93,5 @@
         else:
             total = f"{answer.total:.7g}".encode()
             data = b"$%d\r\n%b\r\n" % (len(total), total)
-        self._last = max(answer.at_ms, self._last)
-        asyncio.get_running_loop().call_at(owner.begun + self._last / 1000.0, self.write, data)
+        self._last_reply_ms = max(answer.at_ms, self._last_reply_ms)
+        asyncio.get_running_loop().call_at(server.started_s + self._last_reply_ms / 1000.0, self.write, data)
--- a/badgeryoke/testbed/emulator/discovery_agent.py
+++ b/badgeryoke/testbed/emulator/discovery_agent.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 
 
-class Agent(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One connection; `body` is the endpoint list as this gateway sees it."""
 
     def __init__(self, body: bytes, version: int) -> None:
         self._body, self._version = body, version
-        self._held = b""
+        self._buffer = b""
         self._transport: asyncio.Transport | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -25,16 +25,16 @@
 
     def data_received(self, data: bytes) -> None:
         """Answer each complete request; a long poll is answered without changes when its wait ends."""
-        self._held += data
-        while b"\r\n\r\n" in self._held:
-            head, self._held = self._held.split(b"\r\n\r\n", 1)
-            wait = re.search(rb"wait_ms=(\d+)", head)
+        self._buffer += data
+        while b"\r\n\r\n" in self._buffer:
+            head, self._buffer = self._buffer.split(b"\r\n\r\n", 1)
+            wait_ms = re.search(rb"wait_ms=(\d+)", head)
             if b"after=" not in head:
-                self._answer(self._body)
+                self._respond(self._body)
                 continue
             empty = json.dumps({"version": self._version, "full": False, "servers": []}).encode()
             self._timer = asyncio.get_running_loop().call_later(
-                min(int(wait.group(1)) if wait else 0, 60_000) / 1000.0, self._answer, empty
+                min(int(wait_ms.group(1)) if wait_ms else 0, 60_000) / 1000.0, self._respond, empty
             )
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -43,7 +43,7 @@
         if self._timer is not None:
             self._timer.cancel()
 
-    def _answer(self, body: bytes) -> None:
+    def _respond(self, body: bytes) -> None:
         if self._transport is not None:
             self._transport.write(
                 b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
@@ -51,12 +51,12 @@
             )
 
 
-def roster(addresses: dict[int, str], cold: Iterable[int] = (), started_ms: int = 0) -> bytes:
+def endpoint_list_json(addresses: dict[int, str], cold: Iterable[int] = (), started_ms: int = 0) -> bytes:
     """The endpoint list of the servers, given by number and address.
 
     `cold`: servers that started at `started_ms` (Unix time in ms) and are warming up.
     """
-    fresh = set(cold)
+    cold_numbers = set(cold)
     servers = [
         {
             "id": f"s-{number:08x}",
@@ -66,7 +66,7 @@
             "cell": 0,
             "state": "active",
             "weight": 1.0,
-            "started_ms": started_ms if number in fresh else 0,
+            "started_ms": started_ms if number in cold_numbers else 0,
         }
         for number, address in addresses.items()
     ]
--- a/badgeryoke/testbed/emulator/faulty_links.py
+++ b/badgeryoke/testbed/emulator/faulty_links.py
@@ -18,32 +18,34 @@
 
 from badgeryoke.testbed.scenario.model import Fault
 
-MOST_HELD = 1024 * 1024  # of one direction of one connection; reading pauses above it
-MOST_PIECE = 64 * 1024  # largest piece forwarded at once, so that connections share a narrow link
+MAX_QUEUED_BYTES = 1024 * 1024  # of one direction of one connection; reading pauses above it
+MAX_PIECE_BYTES = 64 * 1024  # largest piece forwarded at once, so that connections share a narrow link
 CONNECT_S = 2.0
 
 
 @dataclass
-class Way:
+class LinkDirection:
     """The faults of the link from one gateway to another."""
 
     cut: bool = False
     delay_ms: float = 0.0
-    resets: float = 0.0  # rate of connection resets a second
-    bytes_s: float = 0.0  # bandwidth; 0: unlimited
-    free_at: float = 0.0  # time at which a narrow link has sent all bytes queued so far
-    lost: int = 0  # bytes dropped by cuts
+    resets_per_s: float = 0.0  # rate of connection resets a second
+    bytes_per_s: float = 0.0  # bandwidth; 0: unlimited
+    idle_at: float = 0.0  # time at which a narrow link has sent all bytes queued so far
+    dropped_bytes: int = 0  # bytes dropped by cuts
 
 
-class Links:
+class FaultyLinks:
     """All links, listeners and connections between gateways, which are numbered from 0 here."""
 
     def __init__(self, gateways: int, rng: random.Random) -> None:
         self.gateways, self._rng = gateways, rng
-        self.ways = {(i, j): Way() for i in range(gateways) for j in range(gateways) if i != j}
+        self.directions = {
+            (i, j): LinkDirection() for i in range(gateways) for j in range(gateways) if i != j
+        }
         self.ports: dict[tuple[int, int], int] = {}
         self.targets: dict[int, tuple[str, int]] = {}  # listen address of each gateway
-        self.open: dict[_Pair, None] = {}
+        self.connections: dict[_ProxiedConnection, None] = {}
         self._listeners: list[asyncio.Server] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._timers: dict[tuple[int, int], asyncio.TimerHandle] = {}
@@ -51,203 +53,215 @@
     async def listen(self) -> None:
         """Open one listener for each ordered pair."""
         loop = asyncio.get_running_loop()
-        for pair in self.ways:
-            made = await loop.create_server(
-                lambda pair=pair: _End(_Pair(self, *pair), 0),  # type: ignore[misc]
+        for pair in self.directions:
+            listener = await loop.create_server(
+                lambda pair=pair: _ProxySide(_ProxiedConnection(self, *pair), 0),  # type: ignore[misc]
                 "127.0.0.1",
                 0,
                 backlog=64,
             )
-            self._listeners.append(made)
-            self.ports[pair] = int(made.sockets[0].getsockname()[1])
+            self._listeners.append(listener)
+            self.ports[pair] = int(listener.sockets[0].getsockname()[1])
 
-    def connect(self, pair: _Pair) -> None:
+    def connect(self, connection: _ProxiedConnection) -> None:
         """Connect an accepted connection to the gateway that it is meant for."""
-        self.open[pair] = None
-        task = asyncio.get_running_loop().create_task(pair.connect(self.targets[pair.called]))
+        self.connections[connection] = None
+        task = asyncio.get_running_loop().create_task(connection.connect(self.targets[connection.called]))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def happen(self, fault: Fault) -> None:
+    def inject_fault(self, fault: Fault) -> None:
         """Inject a fault of the scenario."""
         if fault.word == "mend":
             self.mend()
             return
         first, second = (tuple(number - 1 for number in group) for group in fault.groups)
-        ways = [(i, j) for i in first for j in second]
+        directions = [(i, j) for i in first for j in second]
         if fault.mode != "one-way":
-            ways += [(j, i) for i, j in ways]
-        for key in ways:
-            way = self.ways[key]
+            directions += [(j, i) for i, j in directions]
+        for key in directions:
+            direction = self.directions[key]
             if fault.word == "cut":
-                way.cut = True
+                direction.cut = True
             elif fault.word == "delay":
-                way.delay_ms = fault.amount
+                direction.delay_ms = fault.amount
             elif fault.word == "narrow":
-                way.bytes_s = fault.amount * 1000.0
+                direction.bytes_per_s = fault.amount * 1000.0
             else:
-                way.resets = fault.amount
-                self._time_reset(key)
+                direction.resets_per_s = fault.amount
+                self._schedule_reset(key)
 
     def mend(self) -> None:
         """Remove all faults, and abort the connections that lost bytes."""
         for timer in self._timers.values():
             timer.cancel()
         self._timers.clear()
-        for way in self.ways.values():
-            way.cut, way.delay_ms, way.resets, way.bytes_s = False, 0.0, 0.0, 0.0
-        for pair in list(self.open):
-            if pair.waits or any(end is not None and end.gap for end in pair.ends):
-                pair.end()
-
-    def _time_reset(self, key: tuple[int, int]) -> None:
-        if (old := self._timers.pop(key, None)) is not None:
-            old.cancel()
-        if (rate := self.ways[key].resets) > 0:
+        for direction in self.directions.values():
+            direction.cut, direction.delay_ms, direction.resets_per_s, direction.bytes_per_s = (
+                False,
+                0.0,
+                0.0,
+                0.0,
+            )
+        for connection in list(self.connections):
+            if connection.delayed_by_cut or any(
+                side is not None and side.has_gap for side in connection.sides
+            ):
+                connection.abort()
+
+    def _schedule_reset(self, key: tuple[int, int]) -> None:
+        if (previous_timer := self._timers.pop(key, None)) is not None:
+            previous_timer.cancel()
+        if (rate := self.directions[key].resets_per_s) > 0:
             self._timers[key] = asyncio.get_running_loop().call_later(
                 self._rng.expovariate(rate), self._reset, key
             )
 
     def _reset(self, key: tuple[int, int]) -> None:
-        for pair in list(self.open):
-            if (pair.caller, pair.called) == key:
-                pair.end(reset=True)
-        self._time_reset(key)
+        for connection in list(self.connections):
+            if (connection.caller, connection.called) == key:
+                connection.abort(reset=True)
+        self._schedule_reset(key)
 
-    def joined(self, first: int, second: int) -> bool:
+    def is_connected(self, first: int, second: int) -> bool:
         """Whether neither direction between two gateways is cut."""
-        return not (self.ways[first, second].cut or self.ways[second, first].cut)
+        return not (self.directions[first, second].cut or self.directions[second, first].cut)
 
     def close(self) -> None:
         """Close all listeners and connections."""
         self.mend()
-        for made in self._listeners:
-            made.close()
-        for pair in list(self.open):
-            pair.end()
+        for listener in self._listeners:
+            listener.close()
+        for connection in list(self.connections):
+            connection.abort()
         for task in self._tasks:
             task.cancel()
 
 
-class _Pair:
+class _ProxiedConnection:
     """One proxied connection from `caller` to `called`: the proxy's connections to both."""
 
-    def __init__(self, owner: Links, caller: int, called: int) -> None:
-        self.owner, self.caller, self.called = owner, caller, called
-        self.ends: list[_End | None] = [None, None]
-        self.waits = False  # whether the connection to `called` was delayed by a cut
-        self.ended = False
+    def __init__(self, links: FaultyLinks, caller: int, called: int) -> None:
+        self.links, self.caller, self.called = links, caller, called
+        self.sides: list[_ProxySide | None] = [None, None]
+        self.delayed_by_cut = False  # whether the connection to `called` was delayed by a cut
+        self.aborted = False
 
     async def connect(self, address: tuple[str, int]) -> None:
         """Connect to `called` once no direction is cut; until then the caller's connection stays open, as SYNs
         would remain unanswered."""
-        while not self.ended and not self.owner.joined(self.caller, self.called):
-            self.waits = True
+        while not self.aborted and not self.links.is_connected(self.caller, self.called):
+            self.delayed_by_cut = True
             await asyncio.sleep(0.02)
-        if self.ended:
+        if self.aborted:
             return
         try:
             await asyncio.wait_for(
-                asyncio.get_running_loop().create_connection(lambda: _End(self, 1), *address), CONNECT_S
+                asyncio.get_running_loop().create_connection(lambda: _ProxySide(self, 1), *address), CONNECT_S
             )
         except (OSError, TimeoutError):
-            self.end()
+            self.abort()
 
-    def end(self, reset: bool = False) -> None:
+    def abort(self, reset: bool = False) -> None:
         """Abort both connections; with `reset`, both gateways receive RST instead of FIN."""
-        self.ended = True
-        self.owner.open.pop(self, None)
-        for end in self.ends:
-            if end is not None and end.transport is not None:
-                if reset and (sock := end.transport.get_extra_info("socket")) is not None:
+        self.aborted = True
+        self.links.connections.pop(self, None)
+        for side in self.sides:
+            if side is not None and side.transport is not None:
+                if reset and (sock := side.transport.get_extra_info("socket")) is not None:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                end.transport.abort()
+                side.transport.abort()
 
 
-class _End(asyncio.Protocol):
+class _ProxySide(asyncio.Protocol):
     """The proxy's connection to one gateway: side 0 is the caller's, side 1 that of the called gateway."""
 
-    def __init__(self, pair: _Pair, side: int) -> None:
-        self._pair, self._side = pair, side
+    def __init__(self, connection: _ProxiedConnection, side: int) -> None:
+        self._connection, self._side = connection, side
         self.transport: asyncio.Transport | None = None
-        sender, receiver = (pair.caller, pair.called) if side == 0 else (pair.called, pair.caller)
-        self._way = pair.owner.ways[sender, receiver]
-        self._held: deque[tuple[float, bytes]] = (
-            deque()
-        )  # bytes for the other side, and when they are due there
-        self._bytes = 0
+        sender, receiver = (
+            (connection.caller, connection.called) if side == 0 else (connection.called, connection.caller)
+        )
+        self._direction = connection.links.directions[sender, receiver]
+        # When bytes are due at the other side, and the bytes.
+        self._queue: deque[tuple[float, bytes]] = deque()
+        self._queued_bytes = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._finished = self._full = False
-        self.gap = False  # bytes were dropped
+        self._eof_seen = self._write_paused = False
+        self.has_gap = False  # bytes were dropped
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self._pair.ends[self._side] = self
-        if self._pair.ended:
+        self._connection.sides[self._side] = self
+        if self._connection.aborted:
             transport.abort()
         elif self._side == 0:
-            self._pair.owner.connect(self._pair)
-        elif (other := self._pair.ends[0]) is not None:
-            other.forward()
+            self._connection.links.connect(self._connection)
+        elif (other_side := self._connection.sides[0]) is not None:
+            other_side.forward()
 
     def data_received(self, data: bytes) -> None:
-        way, now = self._way, asyncio.get_running_loop().time()
-        if way.cut or self.gap:
-            way.lost += len(data)
-            self.gap = True
+        direction, now = self._direction, asyncio.get_running_loop().time()
+        if direction.cut or self.has_gap:
+            direction.dropped_bytes += len(data)
+            self.has_gap = True
             return
-        for at in range(0, len(data), MOST_PIECE):
-            piece = data[at : at + MOST_PIECE]
-            due = now + way.delay_ms / 1000.0
-            if way.bytes_s:
-                way.free_at = max(way.free_at, now) + len(piece) / way.bytes_s
-                due = max(due, way.free_at)
-            self._held.append((max(due, self._held[-1][0] if self._held else 0.0), piece))
-            self._bytes += len(piece)
-        if self._bytes > MOST_HELD and self.transport is not None:
+        for start in range(0, len(data), MAX_PIECE_BYTES):
+            piece = data[start : start + MAX_PIECE_BYTES]
+            due = now + direction.delay_ms / 1000.0
+            if direction.bytes_per_s:
+                direction.idle_at = max(direction.idle_at, now) + len(piece) / direction.bytes_per_s
+                due = max(due, direction.idle_at)
+            self._queue.append((max(due, self._queue[-1][0] if self._queue else 0.0), piece))
+            self._queued_bytes += len(piece)
+        if self._queued_bytes > MAX_QUEUED_BYTES and self.transport is not None:
             self.transport.pause_reading()
         self.forward()
 
     def forward(self) -> None:
         """Write the bytes that are due to the other side."""
-        other, loop = self._pair.ends[1 - self._side], asyncio.get_running_loop()
-        if other is None or other.transport is None or other.transport.is_closing():
+        other_side, loop = self._connection.sides[1 - self._side], asyncio.get_running_loop()
+        if other_side is None or other_side.transport is None or other_side.transport.is_closing():
             return
-        while self._held and self._held[0][0] <= loop.time() and not other._full:
-            _, piece = self._held.popleft()
-            self._bytes -= len(piece)
-            if self._way.cut:  # bytes in flight when the cut begins are dropped as well
-                self._way.lost += len(piece)
-                self.gap = True
+        while self._queue and self._queue[0][0] <= loop.time() and not other_side._write_paused:
+            _, piece = self._queue.popleft()
+            self._queued_bytes -= len(piece)
+            if self._direction.cut:  # bytes in flight when the cut begins are dropped as well
+                self._direction.dropped_bytes += len(piece)
+                self.has_gap = True
             else:
-                other.transport.write(piece)
-        if self._bytes <= MOST_HELD // 2 and self.transport is not None and not self.transport.is_closing():
+                other_side.transport.write(piece)
+        if (
+            self._queued_bytes <= MAX_QUEUED_BYTES // 2
+            and self.transport is not None
+            and not self.transport.is_closing()
+        ):
             self.transport.resume_reading()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._held and not other._full:
-            self._timer = loop.call_at(self._held[0][0], self.forward)
-        elif self._finished and not self._held:
-            if other._finished and not other._held:
-                self._pair.end()
-            elif other.transport.can_write_eof():
-                other.transport.write_eof()
+        if self._queue and not other_side._write_paused:
+            self._timer = loop.call_at(self._queue[0][0], self.forward)
+        elif self._eof_seen and not self._queue:
+            if other_side._eof_seen and not other_side._queue:
+                self._connection.abort()
+            elif other_side.transport.can_write_eof():
+                other_side.transport.write_eof()
 
     def pause_writing(self) -> None:
         """Called when the gateway reads slowly or is frozen: bytes for it stay queued."""
-        self._full = True
+        self._write_paused = True
 
     def resume_writing(self) -> None:
-        self._full = False
-        if (other := self._pair.ends[1 - self._side]) is not None:
-            other.forward()
+        self._write_paused = False
+        if (other_side := self._connection.sides[1 - self._side]) is not None:
+            other_side.forward()
 
     def eof_received(self) -> bool:
         """Forward the end of the stream after all queued bytes; a cut drops it."""
-        self.gap = self.gap or self._way.cut
-        self._finished = not self.gap
+        self.has_gap = self.has_gap or self._direction.cut
+        self._eof_seen = not self.has_gap
         self.forward()
         return True
 
@@ -256,7 +270,7 @@
             self._timer.cancel()
         self.transport = None
         # A cut drops a reset as well: the other side's connection stays open and receives nothing more.
-        if self._way.cut and not self._pair.ended:
-            self.gap = True
+        if self._direction.cut and not self._connection.aborted:
+            self.has_gap = True
         else:
-            self._pair.end()
+            self._connection.abort()
--- a/badgeryoke/testbed/emulator/process.py
+++ b/badgeryoke/testbed/emulator/process.py
@@ -18,14 +18,14 @@
 from badgeryoke.testbed.scenario.model import Scenario
 
 ROOT = Path(__file__).resolve().parents[3]
-STORE = "fleet"  # folder of a gateway's cluster storage
-BELIEF = re.compile(r"counter believed (\w+): ([^\[]*?)(?:, gateways (\[.*\]))?$")
+STORAGE_FOLDER = "fleet"  # folder of a gateway's cluster storage
+COUNTER_HEALTH_LINE = re.compile(r"counter believed (\w+): ([^\[]*?)(?:, gateways (\[.*\]))?$")
 
 
-def wire_settings(scenario: Scenario, me: int) -> dict[str, Any]:
+def wire_settings(scenario: Scenario, index: int) -> dict[str, Any]:
     """The settings object of a gateway's configuration file, under the platform's names."""
     return {
-        "me": me,
+        "me": index,
         "instances": scenario.gateways,
         "zone": "hall-a",
         "zones": ["hall-a"],
@@ -92,40 +92,40 @@
     def __init__(
         self,
         scenario: Scenario,
-        me: int,
+        index: int,
         folder: Path,
         listen: tuple[str, int],
-        agent: int,
-        counter: int,
-        known: bytes,
-        said: Callable[[int, str], None],
-        mgmt: str = "",
-        fleet: str = "",
+        agent_port: int,
+        counter_port: int,
+        endpoint_list: bytes,
+        on_log_line: Callable[[int, str], None],
+        management_address: str = "",
+        cluster_config: str = "",
     ) -> None:
-        self.me, self._said = me, said
-        self._folder = folder / f"gateway-{me + 1}"
+        self.index, self._on_log_line = index, on_log_line
+        self._folder = folder / f"gateway-{index + 1}"
         (self._folder / "deploy").mkdir(parents=True, exist_ok=True)
         watch = "true" if scenario.watch else "false"
         (self._folder / "deploy" / "badgeryoke.toml").write_text(
-            f"[counter_watch]\nenabled = {watch}\n{fleet}"
+            f"[counter_watch]\nenabled = {watch}\n{cluster_config}"
         )
-        self.store = self._folder / STORE
-        self.wipe()  # removes the storage of an earlier run in the same folder
+        self.storage = self._folder / STORAGE_FOLDER
+        self.wipe_storage()  # removes the storage of an earlier run in the same folder
         (self._folder / "log").unlink(missing_ok=True)
-        self._mgmt = mgmt
+        self._management_address = management_address
         self._config = self._folder / "config.json"
-        self._listen, self._agent = f"{listen[0]}:{listen[1]}", f"127.0.0.1:{agent}"
+        self._listen, self._agent_address = f"{listen[0]}:{listen[1]}", f"127.0.0.1:{agent_port}"
         self._config.write_text(
             json.dumps(
                 {
-                    "name": f"g{me + 1}",
+                    "name": f"g{index + 1}",
                     "listen": self._listen,
-                    "discovery": self._agent,
-                    "seed": f"{me + 17:x}",
+                    "discovery": self._agent_address,
+                    "seed": f"{index + 17:x}",
                     "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-                    "counter": f"127.0.0.1:{counter}",
-                    "known": json.loads(known),
-                    "settings": wire_settings(scenario, me),
+                    "counter": f"127.0.0.1:{counter_port}",
+                    "known": json.loads(endpoint_list),
+                    "settings": wire_settings(scenario, index),
                 }
             )
         )
@@ -138,12 +138,12 @@
         environ = dict(
             os.environ,
             LB_CONFIG=str(self._config),
-            LB_NAME=f"g{self.me + 1}",
+            LB_NAME=f"g{self.index + 1}",
             LB_LISTEN=self._listen,
-            LB_DISCOVERY=self._agent,
+            LB_DISCOVERY=self._agent_address,
         )
-        if self._mgmt:
-            environ["LB_MGMT"] = self._mgmt
+        if self._management_address:
+            environ["LB_MGMT"] = self._management_address
         environ["PYTHONPATH"] = os.pathsep.join(filter(None, [str(ROOT), environ.get("PYTHONPATH", "")]))
         self.process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -161,17 +161,17 @@
         with (self._folder / "log").open("ab", 0) as log:
             async for line in process.stderr:
                 log.write(line)
-                self._said(self.me, line.decode(errors="replace").rstrip())
+                self._on_log_line(self.index, line.decode(errors="replace").rstrip())
 
-    def look(self) -> None:
+    def update_peak_memory(self) -> None:
         """Update the peak memory."""
         if self.process is not None and self.process.returncode is None:
             try:
                 status = Path(f"/proc/{self.process.pid}/status").read_text()
             except OSError:
                 return
-            found = re.search(r"VmHWM:\s+(\d+)", status)
-            self.peak_kb = max(self.peak_kb, int(found.group(1)) if found else 0)
+            match = re.search(r"VmHWM:\s+(\d+)", status)
+            self.peak_kb = max(self.peak_kb, int(match.group(1)) if match else 0)
 
     @property
     def running(self) -> bool:
@@ -183,30 +183,30 @@
         if self.process is not None and self.running:
             self.process.send_signal(signal.SIGSTOP if on else signal.SIGCONT)
 
-    def fill(self, on: bool) -> None:
+    def set_disk_full(self, on: bool) -> None:
         """Emulate a full disk: set the process's file size limit to 0, or restore it."""
         if self.process is not None and self.running:
             _, hard = resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE)
             resource.prlimit(self.process.pid, resource.RLIMIT_FSIZE, (0 if on else hard, hard))
 
-    def wipe(self) -> None:
+    def wipe_storage(self) -> None:
         """Remove the cluster storage, as with a lost disk."""
-        shutil.rmtree(self.store, ignore_errors=True)
+        shutil.rmtree(self.storage, ignore_errors=True)
 
-    def spoil(self, rng: random.Random) -> bool:
+    def corrupt_storage(self, rng: random.Random) -> bool:
         """Flip one bit in the middle half of the largest file of the cluster storage; False if there is no file of
         16 bytes or more."""
         files = sorted(
-            (path for path in self.store.rglob("*") if path.is_file()), key=lambda path: path.stat().st_size
+            (path for path in self.storage.rglob("*") if path.is_file()), key=lambda path: path.stat().st_size
         )
         if not files or files[-1].stat().st_size < 16:
             return False
         with files[-1].open("r+b") as file:
             size = files[-1].stat().st_size
-            at = rng.randrange(size // 4, size - size // 4)
-            file.seek(at)
+            offset = rng.randrange(size // 4, size - size // 4)
+            file.seek(offset)
             byte = file.read(1)[0]
-            file.seek(at)
+            file.seek(offset)
             file.write(bytes([byte ^ 1 << rng.randrange(8)]))
         return True
 
--- a/badgeryoke/testbed/emulator/resp.py
+++ b/badgeryoke/testbed/emulator/resp.py
@@ -4,97 +4,97 @@
 
 import asyncio
 
-MOST_HELD = 4 * 1024 * 1024  # of incomplete values on a connection; more than that closes it
+MAX_BUFFERED_BYTES = 4 * 1024 * 1024  # of incomplete values on a connection; more than that closes it
 
 
-class Broken(Exception):
+class RespError(Exception):
     """The input is not RESP2."""
 
 
-def words(*parts: bytes) -> bytes:
+def encode_command(*parts: bytes) -> bytes:
     """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), part) for part in parts)
 
 
-class Peer(asyncio.Protocol):
+class RespConnection(asyncio.Protocol):
     """A connection that reads whole RESP2 values: bytes, None, lists, or an error or status line as str."""
 
     def __init__(self) -> None:
-        self._held = b""
+        self._buffer = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport and notify the subclass."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.begun()
+        self.connected()
 
     def data_received(self, data: bytes) -> None:
         """Pass each complete value to `value_received`; invalid or oversized input ends the connection."""
-        self._held += data
-        at = 0
+        self._buffer += data
+        offset = 0
         try:
-            while at < len(self._held):
-                found = _value(self._held, at)
-                if found is None:
+            while offset < len(self._buffer):
+                parsed = _parse_value(self._buffer, offset)
+                if parsed is None:
                     break
-                value, at = found
-                self.got(value)
-        except (Broken, ValueError, IndexError):
-            self.end()
+                value, offset = parsed
+                self.value_received(value)
+        except (RespError, ValueError, IndexError):
+            self.abort()
             return
-        self._held = self._held[at:]
-        if len(self._held) > MOST_HELD:
-            self.end()
+        self._buffer = self._buffer[offset:]
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Notify the subclass that the connection is closed."""
         self.transport = None
-        self.ended()
+        self.disconnected()
 
     def write(self, data: bytes) -> None:
         """Write if the connection is still open."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
-    def end(self) -> None:
+    def abort(self) -> None:
         """Abort the connection."""
         if self.transport is not None:
             self.transport.abort()
 
-    def begun(self) -> None:
+    def connected(self) -> None:
         """Called when the connection is open."""
 
-    def got(self, value: object) -> None:
+    def value_received(self, value: object) -> None:
         """Called with each complete value."""
 
-    def ended(self) -> None:
+    def disconnected(self) -> None:
         """Called when the connection is closed."""
 
 
-def _value(data: bytes, at: int) -> tuple[object, int] | None:
+def _parse_value(data: bytes, offset: int) -> tuple[object, int] | None:
     """The value at an offset and the offset after it; None while the value is incomplete."""
-    end = data.find(b"\r\n", at)
+    end = data.find(b"\r\n", offset)
     if end < 0:
         return None
-    kind, rest = data[at : at + 1], data[at + 1 : end]
-    at = end + 2
+    kind, rest = data[offset : offset + 1], data[offset + 1 : end]
+    offset = end + 2
     if kind == b"$":
-        size = int(rest)
-        if size < 0:
-            return None if size < -1 else (None, at)
-        if len(data) < at + size + 2:
+        length = int(rest)
+        if length < 0:
+            return None if length < -1 else (None, offset)
+        if len(data) < offset + length + 2:
             return None
-        return data[at : at + size], at + size + 2
+        return data[offset : offset + length], offset + length + 2
     if kind == b"*":
         items: list[object] = []
         for _ in range(int(rest)):
-            found = _value(data, at) if at < len(data) else None
-            if found is None:
+            parsed = _parse_value(data, offset) if offset < len(data) else None
+            if parsed is None:
                 return None
-            items.append(found[0])
-            at = found[1]
-        return items, at
+            items.append(parsed[0])
+            offset = parsed[1]
+        return items, offset
     if kind in (b"-", b"+"):
-        return (kind + rest).decode(), at
-    raise Broken(kind)
+        return (kind + rest).decode(), offset
+    raise RespError(kind)
--- a/badgeryoke/testbed/emulator/run.py
+++ b/badgeryoke/testbed/emulator/run.py
@@ -16,23 +16,24 @@
 
 from badgeryoke.testbed.checkers.quota_checker import QuotaChecker
 from badgeryoke.testbed.customers import Customer, draw_customers
-from badgeryoke.testbed.emulator.clients import Door
-from badgeryoke.testbed.emulator.cluster import ROLLED_S, FleetStage
-from badgeryoke.testbed.emulator.counter import CounterStage
-from badgeryoke.testbed.emulator.discovery_agent import Agent, roster
-from badgeryoke.testbed.emulator.process import BELIEF, GatewayProcess
-from badgeryoke.testbed.emulator.resp import words
+from badgeryoke.testbed.emulator.clients import ClientPool
+from badgeryoke.testbed.emulator.cluster import RESTART_TIMEOUT_S, EmulatedCluster
+from badgeryoke.testbed.emulator.counter import CounterServer
+from badgeryoke.testbed.emulator.discovery_agent import DiscoveryConnection, endpoint_list_json
+from badgeryoke.testbed.emulator.process import COUNTER_HEALTH_LINE, GatewayProcess
+from badgeryoke.testbed.emulator.resp import encode_command
 from badgeryoke.testbed.emulator.servers import CORES, LoadServer
 from badgeryoke.testbed.report.cluster_figures import FleetFigures
 from badgeryoke.testbed.report.result import DEADLINE_MS, Result, Shown, conclude
 from badgeryoke.testbed.scenario.model import Fault, Scenario
 from badgeryoke.testbed.simulation.counter import CounterModel
 
-FRONT_S = 1.5  # time until clients leave a dead gateway
-READY_S = 20.0
-MOST_EVENTS, MOST_SAID = 20_000, 400  # limits of kept events with gateways' log lines, and of a line's length
-TEND_S = 0.1  # between two health checks of the load balancer
-HIGHEST_US = 60_000_000
+FAILOVER_S = 1.5  # time until clients leave a dead gateway
+READY_TIMEOUT_S = 20.0
+# Events up to which gateways' log lines are kept, and the length to which a line is cut.
+MAX_EVENTS, MAX_LOG_LINE_CHARS = 20_000, 400
+HEALTH_CHECK_S = 0.1  # between two health checks of the load balancer
+MAX_LATENCY_US = 60_000_000
 
 
 def free_port(host: str) -> int:
@@ -42,7 +43,7 @@
         return int(probe.getsockname()[1])
 
 
-class Stage:
+class EmulatedRun:
     """One run of a scenario.  `show` is called with every event and with each second's figures."""
 
     def __init__(
@@ -54,16 +55,16 @@
     ) -> None:
         self.scenario, self.seed, self._show = scenario, seed, show or (lambda event: None)
         self._rng = random.Random(f"{scenario.name}/{seed}")
-        self._temporary = tempfile.TemporaryDirectory() if folder is None else None
-        self.folder = folder or Path(self._temporary.name if self._temporary else ".")
+        self._temporary_folder = tempfile.TemporaryDirectory() if folder is None else None
+        self.folder = folder or Path(self._temporary_folder.name if self._temporary_folder else ".")
         self.referee = QuotaChecker(scenario.plans, scenario.trouble)
-        self.fleet: FleetStage | None = None
-        self._felled: set[int] = set()  # gateways that a fault has killed and that are not started again
+        self.cluster: EmulatedCluster | None = None
+        self._killed: set[int] = set()  # gateways that a fault has killed and that are not started again
         self._tasks: list[asyncio.Task[None]] = []
-        self.counter = CounterStage(CounterModel(scenario, self._rng), scenario.gateways)
+        self.counter = CounterServer(CounterModel(scenario, self._rng), scenario.gateways)
         self.beliefs: list[Shown] = []
         self.events: list[dict[str, Any]] = []
-        self.latency = {kind: HdrHistogram(1, HIGHEST_US, 3) for kind in ("served", "refused", "failed")}
+        self.latency = {kind: HdrHistogram(1, MAX_LATENCY_US, 3) for kind in ("served", "refused", "failed")}
         self._servers = [
             LoadServer(
                 number + 1,
@@ -71,24 +72,24 @@
                 scenario.slots,
                 CORES,
                 seed,
-                self._arrived,
+                self._command_arrived,
                 number < scenario.cold,
             )
             for number in range(scenario.servers)
         ]
         self._customers = draw_customers(scenario, self._rng)
-        self._doors: list[Door] = []
+        self._pools: list[ClientPool] = []
         self._gateways: list[GatewayProcess] = []
-        self._dead_at = [0.0] * scenario.gateways
-        self._spike, self._rids, self._begun = 1.0, 0, 0.0
-        self.asking = self._looking = True
-        self.worst_lag_ms = 0.0
+        self._killed_at_ms = [0.0] * scenario.gateways
+        self._load_factor, self._requests_sent, self._started_s = 1.0, 0, 0.0
+        self.clients_running = self._measuring = True
+        self.max_lag_ms = 0.0
         self.counts = {"served": 0, "refused": 0, "failed": 0, "lost": 0}
 
     @property
     def now(self) -> float:
         """Time of the run: ms since the clients began."""
-        return (asyncio.get_running_loop().time() - self._begun) * 1000.0
+        return (asyncio.get_running_loop().time() - self._started_s) * 1000.0
 
     def _event(self, kind: str, **fields: Any) -> None:
         event = {"at_ms": round(self.now, 1), "event": kind, **fields}
@@ -114,10 +115,10 @@
             await server.open(scenario.gateways)
         self._agents = []
         # A gateway has three addresses: for clients, for management, and for the other members of the cluster.
-        hosts = [f"127.0.1.{me % 250 + 1}" for me in range(scenario.gateways)]
+        hosts = [f"127.0.1.{index % 250 + 1}" for index in range(scenario.gateways)]
         mgmt = [(host, free_port(host)) for host in hosts]
         if scenario.fleet:
-            self.fleet = FleetStage(
+            self.cluster = EmulatedCluster(
                 scenario,
                 self._rng,
                 lambda: self.now,
@@ -125,77 +126,84 @@
                 [(host, free_port(host)) for host in hosts],
                 mgmt,
             )
-            await self.fleet.links.listen()
-            self.fleet.gateways = self._gateways
-            self.fleet.fell, self.fleet.raise_ = self._fell, self._start
-        for me in range(scenario.gateways):
-            body = roster(
-                {one.number: f"127.0.0.1:{one.ports[me]}" for one in self._servers},
+            await self.cluster.links.listen()
+            self.cluster.gateways = self._gateways
+            self.cluster.kill_gateway, self.cluster.start_gateway = self._kill, self._start
+        for index in range(scenario.gateways):
+            body = endpoint_list_json(
+                {one.number: f"127.0.0.1:{one.ports[index]}" for one in self._servers},
                 range(1, scenario.cold + 1),
                 int(time.time() * 1000.0),
             )
             agent = await loop.create_server(
-                lambda body=body: Agent(body, 1),  # type: ignore[misc]
+                lambda body=body: DiscoveryConnection(body, 1),  # type: ignore[misc]
                 "127.0.0.1",
                 0,
             )
             self._agents.append(agent)
-            address = hosts[me], free_port(hosts[me])
-            self._doors.append(Door(address))
+            address = hosts[index], free_port(hosts[index])
+            self._pools.append(ClientPool(address))
             self._gateways.append(
                 GatewayProcess(
                     scenario,
-                    me,
+                    index,
                     self.folder,
                     address,
                     agent.sockets[0].getsockname()[1],
-                    self.counter.ports[me],
+                    self.counter.ports[index],
                     body,
-                    self._said,
-                    *(("{}:{}".format(*mgmt[me]), self.fleet.file(me)) if self.fleet is not None else ()),
+                    self._log_line,
+                    *(
+                        ("{}:{}".format(*mgmt[index]), self.cluster.config_section(index))
+                        if self.cluster is not None
+                        else ()
+                    ),
                 )
             )
-        self._begun = loop.time()
-        await asyncio.gather(*(self._start(me) for me in range(min(scenario.started, scenario.gateways))))
-        await asyncio.sleep(1.3)  # until the gateways have discovered each other, so that the run has no cold start
-        if self.fleet is not None:
-            await self.fleet.founded()
-        self._begun = loop.time()
-
-    async def _start(self, me: int) -> None:
-        if self._gateways[me].running:
+        self._started_s = loop.time()
+        await asyncio.gather(
+            *(self._start(index) for index in range(min(scenario.started, scenario.gateways)))
+        )
+        # The gateways discover each other first, so that the run has no cold start.
+        await asyncio.sleep(1.3)
+        if self.cluster is not None:
+            await self.cluster.wait_founded()
+        self._started_s = loop.time()
+
+    async def _start(self, index: int) -> None:
+        if self._gateways[index].running:
             return
-        await self._gateways[me].start()
-        self._felled.discard(me)
-        until = asyncio.get_running_loop().time() + READY_S
-        while not await self._doors[me].ping(0.5):
-            late = asyncio.get_running_loop().time() >= until
-            if late or not self._gateways[me].running:
+        await self._gateways[index].start()
+        self._killed.discard(index)
+        deadline = asyncio.get_running_loop().time() + READY_TIMEOUT_S
+        while not await self._pools[index].ping(0.5):
+            late = asyncio.get_running_loop().time() >= deadline
+            if late or not self._gateways[index].running:
                 raise RuntimeError(
-                    f"gateway {me + 1} {'was not ready in time' if late else 'ended at its start'}; its "
-                    f"log: {self.folder / f'gateway-{me + 1}' / 'log'}"
+                    f"gateway {index + 1} {'was not ready in time' if late else 'ended at its start'}; its "
+                    f"log: {self.folder / f'gateway-{index + 1}' / 'log'}"
                 )
-        self._doors[me].up = True
-        if self.fleet is not None:
-            self.fleet.mark(me, "up")
+        self._pools[index].up = True
+        if self.cluster is not None:
+            self.cluster.record_restart_phase(index, "up")
 
-    async def _fell(self, me: int) -> None:
+    async def _kill(self, index: int) -> None:
         """Kill a gateway; its clients lose their connections and queued attempts."""
-        self._felled.add(me)
-        self._dead_at[me] = self.now
-        await self._gateways[me].kill()
-        self._doors[me].up = False
-        self._doors[me].drop()
+        self._killed.add(index)
+        self._killed_at_ms[index] = self.now
+        await self._gateways[index].kill()
+        self._pools[index].up = False
+        self._pools[index].fail_queued()
 
     async def _run(self) -> None:
         loop, scenario = asyncio.get_running_loop(), self.scenario
         for customer in self._customers:
             if customer.rate > 0:
-                self._next(customer, 0.0)
-        self._look(loop.time())
-        if self.fleet is not None:
-            self.fleet.begin({number + 1: one.number for number, one in enumerate(self._customers)})
-            self._tasks.append(loop.create_task(self._tend()))
+                self._schedule_next_attempt(customer, 0.0)
+        self._measure(loop.time())
+        if self.cluster is not None:
+            self.cluster.start({number + 1: one.number for number, one in enumerate(self._customers)})
+            self._tasks.append(loop.create_task(self._supervise()))
         for fault in scenario.faults:
             await asyncio.sleep(max(fault.at_ms - self.now, 0.0) / 1000.0)
             self._event(
@@ -206,87 +214,91 @@
                 groups=[list(group) for group in fault.groups],
                 amount=fault.amount,
             )
-            await self.happen(fault)
-        while self.asking and (self.now < scenario.length_ms or self._rolling):
+            await self.inject_fault(fault)
+        while self.clients_running and (self.now < scenario.length_ms or self._rolling):
             await asyncio.sleep(0.05)
-        self.asking = False
-        if self.fleet is not None:
-            await self.fleet.rolled()
+        self.clients_running = False
+        if self.cluster is not None:
+            await self.cluster.wait_restarts()
         await asyncio.sleep((DEADLINE_MS + 200.0) / 1000.0)
-        if self.fleet is not None:
-            for me in sorted(self._felled):
-                await self._start(me)
-            await self.fleet.finish()
+        if self.cluster is not None:
+            for index in sorted(self._killed):
+                await self._start(index)
+            await self.cluster.finish()
 
     @property
     def _rolling(self) -> bool:
         """Whether a rolling restart is in progress: clients go on meanwhile, since it must not lose their queries."""
         return (
-            self.fleet is not None
-            and self.fleet.rolling
-            and self.now < self.scenario.length_ms + ROLLED_S * 1000.0
+            self.cluster is not None
+            and self.cluster.restart_in_progress
+            and self.now < self.scenario.length_ms + RESTART_TIMEOUT_S * 1000.0
         )
 
-    async def happen(self, fault: Fault) -> None:
+    async def inject_fault(self, fault: Fault) -> None:
         """Inject a fault."""
         if fault.target == "counter":
-            await self.counter.happen(fault)
+            await self.counter.inject_fault(fault)
             return
         if fault.target == "customers":
-            self._spike = fault.amount
+            self._load_factor = fault.amount
             return
-        me = fault.groups[0][0] - 1 if fault.target == "gateway" else -1
-        if fault.mode == "whole" and self.fleet is not None and not await self.fleet.until_whole():
+        index = fault.groups[0][0] - 1 if fault.target == "gateway" else -1
+        if (
+            fault.mode == "whole"
+            and self.cluster is not None
+            and not await self.cluster.wait_replicas_complete()
+        ):
             return
-        ran = me >= 0 and self._gateways[me].running
+        ran = index >= 0 and self._gateways[index].running
         if fault.word in ("kill", "lose", "spoil") and ran:
-            await self._fell(me)
-        if self.fleet is not None:
-            await self.fleet.happen(fault)
+            await self._kill(index)
+        if self.cluster is not None:
+            await self.cluster.inject_fault(fault)
         if fault.word == "start" or (fault.word == "spoil" and ran):
-            await self._start(me)
+            await self._start(index)
 
-    async def _tend(self) -> None:
+    async def _supervise(self) -> None:
         """Emulate a load balancer, which health-checks the gateways with PING and sends clients only to ready ones,
         and a supervisor, which restarts gateways that ended by themselves."""
         while True:
-            for me, gateway in enumerate(self._gateways):
-                if not gateway.running and me not in self._felled:
-                    self._doors[me].up = False
-                    self._doors[me].drop()
-                    self._event("ended", gateway=me + 1)
-                    if self.fleet is not None:
-                        self.fleet.mark(me, "ended")
-                    await self._start(me)
-            live = [me for me in range(len(self._gateways)) if me not in self._felled]
-            said = await asyncio.gather(*(self._doors[me].ping(0.0) for me in live))
-            for me, yes in zip(live, said, strict=True):
-                self._doors[me].up = yes and me not in self._felled
-            await asyncio.sleep(TEND_S)
+            for index, gateway in enumerate(self._gateways):
+                if not gateway.running and index not in self._killed:
+                    self._pools[index].up = False
+                    self._pools[index].fail_queued()
+                    self._event("ended", gateway=index + 1)
+                    if self.cluster is not None:
+                        self.cluster.record_restart_phase(index, "ended")
+                    await self._start(index)
+            live = [index for index in range(len(self._gateways)) if index not in self._killed]
+            answers = await asyncio.gather(*(self._pools[index].ping(0.0) for index in live))
+            for index, is_ready in zip(live, answers, strict=True):
+                self._pools[index].up = is_ready and index not in self._killed
+            await asyncio.sleep(HEALTH_CHECK_S)
 
     async def close(self) -> None:
         """Stop all processes, listeners and tasks."""
-        self._looking = False
+        self._measuring = False
         for task in self._tasks:
             task.cancel()
-        if self.fleet is not None:
-            self.fleet.close()
+        if self.cluster is not None:
+            self.cluster.close()
         await asyncio.gather(*(gateway.stop() for gateway in self._gateways))
         self.counter.close()
         for server in self._servers:
             server.close()
         for agent in getattr(self, "_agents", []):
             agent.close()
-        if self._temporary is not None:
-            self._temporary.cleanup()
+        if self._temporary_folder is not None:
+            self._temporary_folder.cleanup()
 
-    def _look(self, due: float) -> None:
+    def _measure(self, due: float) -> None:
         """Every 100 ms, measure this process's lag; every second, measure the gateways' memory and show figures."""
         loop = asyncio.get_running_loop()
-        self.worst_lag_ms = max(self.worst_lag_ms, (loop.time() - due) * 1000.0)
+        self.max_lag_ms = max(self.max_lag_ms, (loop.time() - due) * 1000.0)
         if int(self.now) // 1000 != int(self.now - 100) // 1000:
             for gateway in self._gateways:
-                gateway.look()
+                gateway.update_peak_memory()
             gc.collect(0)
             step = int((self.now - 1000.0) // self.referee.step_ms)
             rows = [
@@ -305,88 +317,91 @@
                     "oracle": sum(row.oracle for row in rows),
                 }
             )
-        if self._looking:
-            loop.call_later(0.1, self._look, loop.time() + 0.1)
+        if self._measuring:
+            loop.call_later(0.1, self._measure, loop.time() + 0.1)
 
     # Clients ----------------------------------------------------------------------------------------------
 
-    def _next(self, customer: Customer, after_ms: float) -> None:
-        wait = after_ms + self._rng.expovariate(customer.rate * self._spike)
+    def _schedule_next_attempt(self, customer: Customer, after_ms: float) -> None:
+        wait = after_ms + self._rng.expovariate(customer.rate * self._load_factor)
         loop = asyncio.get_running_loop()
-        loop.call_at(self._begun + wait / 1000.0, self._try, customer, wait)
+        loop.call_at(self._started_s + wait / 1000.0, self._send_scheduled_attempt, customer, wait)
 
-    def _try(self, customer: Customer, due_ms: float) -> None:
-        if not self.asking or (due_ms >= self.scenario.length_ms and not self._rolling):
+    def _send_scheduled_attempt(self, customer: Customer, due_ms: float) -> None:
+        if not self.clients_running or (due_ms >= self.scenario.length_ms and not self._rolling):
             return
-        self._next(customer, due_ms)
-        self._ask(customer, False)
+        self._schedule_next_attempt(customer, due_ms)
+        self._send_attempt(customer, False)
 
-    def _ask(self, customer: Customer, again: bool) -> None:
+    def _send_attempt(self, customer: Customer, is_retry: bool) -> None:
         rng, scenario = self._rng, self.scenario
-        if not self.asking:
+        if not self.clients_running:
             return
-        me = customer.door(self.now, rng, scenario.gateways)
-        if not self._doors[me].up:
-            alive = [
+        index = customer.door(self.now, rng, scenario.gateways)
+        if not self._pools[index].up:
+            ready = [
                 number
                 for number in ((customer.first + step) % scenario.gateways for step in range(customer.spread))
-                if self._doors[number].up
+                if self._pools[number].up
             ]
-            if not alive or self.now - self._dead_at[me] < FRONT_S * 1000.0:
+            if not ready or self.now - self._killed_at_ms[index] < FAILOVER_S * 1000.0:
                 return
-            me = rng.choice(alive)
+            index = rng.choice(ready)
         units = rng.randint(*customer.crowd.units)
-        self._rids += 1
-        rid, plan, sent = f"{self._rids:016x}", customer.crowd.plan, self.now
+        self._requests_sent += 1
+        request_id, plan, sent = f"{self._requests_sent:016x}", customer.crowd.plan, self.now
         fields = (
             f"c=balance-check,t={plan},d={DEADLINE_MS:.0f},units={units},spread={customer.spread},"
-            f"first={customer.first}{',r=1' if again else ''}"
+            f"first={customer.first}{',r=1' if is_retry else ''}"
         )
 
         def done(kind: str, wait_ms: float = 0.0) -> None:
-            if kind == "refused" and not again and rng.random() < customer.crowd.retries:
-                asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._ask, customer, True)
+            if kind == "refused" and not is_retry and rng.random() < customer.crowd.retries:
+                asyncio.get_running_loop().call_later(wait_ms / 1000.0, self._send_attempt, customer, True)
             self.counts[kind] += 1
-            ended(kind)
+            record_outcome(kind)
             if kind == "lost":
-                self.referee.request_abandoned(rid)
-                if self.fleet is not None and me not in self._felled:
-                    self.fleet.roll_lost += 1
-                    self._event("lost", gateway=me + 1, asked_at=round(sent, 1), up=self._doors[me].up)
+                self.referee.request_abandoned(request_id)
+                if self.cluster is not None and index not in self._killed:
+                    self.cluster.roll_lost += 1
+                    self._event("lost", gateway=index + 1, asked_at=round(sent, 1), up=self._pools[index].up)
                 return
-            self.referee.response_received(self.now, rid, kind)
+            self.referee.response_received(self.now, request_id, kind)
             self.latency[kind].record_value(max(int((self.now - sent) * 1000.0), 1))
 
-        ended = (
-            self.fleet.asked(customer.number, sent, units, me)
-            if self.fleet is not None
+        record_outcome = (
+            self.cluster.attempt_started(customer.number, sent, units, index)
+            if self.cluster is not None
             else lambda kind: None
         )
-        self.referee.request_sent(sent, rid, customer.number, plan, units, me)
-        if not self._doors[me].ask(
-            words(b"SVC.QUERY", b"%016x" % customer.number, rid.encode(), fields.encode()), done
+        self.referee.request_sent(sent, request_id, customer.number, plan, units, index)
+        if not self._pools[index].submit(
+            encode_command(b"SVC.QUERY", b"%016x" % customer.number, request_id.encode(), fields.encode()),
+            done,
         ):
             done("lost")
 
-    def _arrived(self, customer: int, rid: str, fields: dict[str, str], gateway: int) -> None:
-        self.referee.attempt_arrived(self.now, rid, customer, fields["t"], float(fields["units"]), gateway)
+    def _command_arrived(self, customer: int, request_id: str, fields: dict[str, str], gateway: int) -> None:
+        self.referee.attempt_arrived(
+            self.now, request_id, customer, fields["t"], float(fields["units"]), gateway
+        )
 
-    def _said(self, me: int, line: str) -> None:
+    def _log_line(self, index: int, line: str) -> None:
         """Process a line of a gateway's log."""
-        if self.fleet is not None:
-            self.fleet.said(me, line)
-        found = BELIEF.search(line)
+        if self.cluster is not None:
+            self.cluster.log_line(index, line)
+        found = COUNTER_HEALTH_LINE.search(line)
         if found is None:
-            if " badgeryoke.fleet: " in line and len(self.events) < MOST_EVENTS:
-                self._event("said", gateway=me + 1, line=line[:MOST_SAID])
+            if " badgeryoke.fleet: " in line and len(self.events) < MAX_EVENTS:
+                self._event("said", gateway=index + 1, line=line[:MAX_LOG_LINE_CHARS])
             return
         hidden = tuple(int(word) for word in (found.group(3) or "[]").strip("[]").split(",") if word.strip())
-        shown = Shown(round(self.now, 1), me, found.group(1), found.group(2).strip(), hidden)
+        shown = Shown(round(self.now, 1), index, found.group(1), found.group(2).strip(), hidden)
         if shown.at_ms >= 0 or shown.belief != "sound":
             self.beliefs.append(shown)
         self._event(
             "belief",
-            gateway=me + 1,
+            gateway=index + 1,
             belief=shown.belief,
             sign=shown.sign,
             hidden=[number + 1 for number in hidden],
@@ -404,18 +419,18 @@
                 if one.get_total_count()
             },
             "memory_mb": [round(gateway.peak_kb / 1024.0, 1) for gateway in self._gateways],
-            "emulator_lag_ms": round(self.worst_lag_ms, 1),
+            "emulator_lag_ms": round(self.max_lag_ms, 1),
             **(
                 {
-                    "promises": self.fleet.book.figures(),
-                    "rolls": self.fleet.rolls,
-                    "contracts": self.fleet.contracts,
+                    "promises": self.cluster.ledger.figures(),
+                    "rolls": self.cluster.rolls,
+                    "contracts": self.cluster.contracts,
                 }
-                if self.fleet is not None
+                if self.cluster is not None
                 else {}
             ),
         }
 
-    def fleet_figures(self) -> FleetFigures:
+    def cluster_figures(self) -> FleetFigures:
         """The figures of the cluster; all empty for a scenario without one."""
-        return self.fleet.figures(self._servers) if self.fleet is not None else FleetFigures()
+        return self.cluster.figures(self._servers) if self.cluster is not None else FleetFigures()
--- a/badgeryoke/testbed/seed_sweep.py
+++ b/badgeryoke/testbed/seed_sweep.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 from typing import Any
 
-from badgeryoke.testbed.emulator.cluster import unplayable
-from badgeryoke.testbed.emulator.run import Stage
+from badgeryoke.testbed.emulator.cluster import unsupported_reason
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.cluster_figures import spread
 from badgeryoke.testbed.report.write import commit
 from badgeryoke.testbed.scenario.parser import load
@@ -56,12 +56,12 @@
             def show(event: dict[str, Any]) -> None:
                 events.write(json.dumps(event, sort_keys=True) + "\n")
 
-        stage = Stage(text, seed, folder, show)
+        stage = EmulatedRun(text, seed, folder, show)
         try:
             asyncio.run(stage.play())
         except (RuntimeError, OSError) as fault:
             row["fault"] = str(fault)[:500]
-    made = stage.fleet_figures()
+    made = stage.cluster_figures()
     row |= {
         "figures": made.plain(),
         "bad": made.bad(),
@@ -129,7 +129,7 @@
     except (TextError, OSError) as fault:
         print(f"{got.scenario}: {fault}", file=sys.stderr)
         return 2
-    if why_not := unplayable(text):
+    if why_not := unsupported_reason(text):
         print(f"{got.scenario}: {why_not}", file=sys.stderr)
         return 2
     rows = []
--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -11,10 +11,15 @@
 
 import pytest
 
-from badgeryoke.testbed.emulator.cluster import FleetStage, unplayable
-from badgeryoke.testbed.emulator.faulty_links import Links
-from badgeryoke.testbed.emulator.key_value_load import NOBODY, UNKNOWN, Book, read_answer
-from badgeryoke.testbed.emulator.run import Stage
+from badgeryoke.testbed.emulator.cluster import EmulatedCluster, unsupported_reason
+from badgeryoke.testbed.emulator.faulty_links import FaultyLinks
+from badgeryoke.testbed.emulator.key_value_load import (
+    NOT_LISTENING,
+    UNKNOWN_OUTCOME,
+    WriteLedger,
+    read_answer,
+)
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.scenario.model import Fault
 from badgeryoke.testbed.scenario.parser import load, parse
 from badgeryoke.testbed.scenario.sexpr import TextError
@@ -129,14 +134,14 @@
 
 @asynccontextmanager
 async def linked() -> AsyncIterator[
-    tuple[Links, asyncio.StreamReader, asyncio.StreamWriter, asyncio.StreamReader, asyncio.StreamWriter]
+    tuple[FaultyLinks, asyncio.StreamReader, asyncio.StreamWriter, asyncio.StreamReader, asyncio.StreamWriter]
 ]:
     """Gateway 0 has called gateway 1: both ends."""
     called: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
     server = await asyncio.start_server(
         lambda reader, writer: called.put_nowait((reader, writer)), "127.0.0.1", 0
     )
-    links = Links(2, random.Random(1))
+    links = FaultyLinks(2, random.Random(1))
     links.targets = {1: server.sockets[0].getsockname(), 0: ("127.0.0.1", 1)}
     await links.listen()
     near = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
@@ -166,11 +171,11 @@
 def test_a_one_way_cut_swallows_one_way_and_breaks_off_when_mended() -> None:
     async def test() -> None:
         async with linked() as (links, near, say, far, back):
-            links.happen(fault("cut", mode="one-way"))
+            links.inject_fault(fault("cut", mode="one-way"))
             say.write(b"lost")
             back.write(b"heard")
             assert await near.readexactly(5) == b"heard"
-            while links.ways[0, 1].lost < 4:
+            while links.directions[0, 1].dropped_bytes < 4:
                 await asyncio.sleep(0.001)
             links.mend()
             assert await far.read() == b"" and await near.read() == b""  # behind the gap nothing is said
@@ -181,15 +186,15 @@
 def test_a_cut_keeps_new_connections_and_the_end_of_old_ones_away() -> None:
     async def test() -> None:
         async with linked() as (links, _near, say, far, back):
-            links.happen(fault("cut"))
+            links.inject_fault(fault("cut"))
             say.write_eof()
             _, again = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
             again.write(b"anyone?")
-            while links.ways[0, 1].lost < 7:
+            while links.directions[0, 1].dropped_bytes < 7:
                 await asyncio.sleep(0.001)
-            assert len(links.open) == 2 and not far.at_eof() and not back.is_closing()
+            assert len(links.connections) == 2 and not far.at_eof() and not back.is_closing()
             links.mend()
-            assert await far.read() == b"" and not links.open
+            assert await far.read() == b"" and not links.connections
             again.transport.abort()
 
     play(test)
@@ -199,14 +204,14 @@
     async def test() -> None:
         async with linked() as (links, near, say, far, _back):
             loop = asyncio.get_running_loop()
-            links.happen(fault("delay", 60.0))
+            links.inject_fault(fault("delay", 60.0))
             begun = loop.time()
             say.write(b"first")
             await say.drain()
             say.write(b"second")
             assert await far.readexactly(11) == b"firstsecond"
             assert loop.time() - begun >= 0.059
-            links.happen(fault("reset", 50.0))
+            links.inject_fault(fault("reset", 50.0))
             with pytest.raises(ConnectionResetError):
                 await near.read()
 
@@ -216,7 +221,7 @@
 def test_a_narrow_way_takes_its_time_and_holds_no_more_than_its_bound() -> None:
     async def test() -> None:
         async with linked() as (links, _near, say, far, _back):
-            links.happen(fault("narrow", 2000.0))  # 2 MB a second
+            links.inject_fault(fault("narrow", 2000.0))  # 2 MB a second
             say.write(b"x" * 300_000)
             begun = asyncio.get_running_loop().time()
             assert len(await far.readexactly(300_000)) == 300_000
@@ -233,7 +238,7 @@
             assert await far.read() == b"bye"
             back.close()
             await near.read()
-            while links.open:
+            while links.connections:
                 await asyncio.sleep(0.001)
 
     play(test)
@@ -243,22 +248,22 @@
 
 
 def test_the_book_counts_what_was_acknowledged_lost_and_done_twice() -> None:
-    book = Book()
+    book = WriteLedger()
     for name in ("a", "b", "c", "d"):
-        book.began(0.0, name)
-    book.ended(10.0, "a", "1", (None, ""))
-    book.ended(30.0, "b", "2", ("2", ""))  # its own value was there before it
-    book.ended(40.0, "c", "3", (None, UNKNOWN))
-    book.ended(50.0, "d", "4", (None, "no-room"))
-    book.began(100.0, "e")
-    book.began(120.0, "f")
-    book.ended(700.0, "f", "6", (None, ""))
-    book.excuse(1700.0)
+        book.write_started(0.0, name)
+    book.write_ended(10.0, "a", "1", (None, ""))
+    book.write_ended(30.0, "b", "2", ("2", ""))  # its own value was there before it
+    book.write_ended(40.0, "c", "3", (None, UNKNOWN_OUTCOME))
+    book.write_ended(50.0, "d", "4", (None, "no-room"))
+    book.write_started(100.0, "e")
+    book.write_started(120.0, "f")
+    book.write_ended(700.0, "f", "6", (None, ""))
+    book.restart_unavailability(1700.0)
     book.finish(1800.0)
-    assert (book.longest_ms, book.longest_at) == (600.0, 100.0)
-    for name, answer in (("a", ("1", "")), ("b", (None, "")), ("f", (None, UNKNOWN))):
+    assert (book.longest_unavailable_ms, book.longest_unavailable_at_ms) == (600.0, 100.0)
+    for name, answer in (("a", ("1", "")), ("b", (None, "")), ("f", (None, UNKNOWN_OUTCOME))):
         book.read(name, answer)
-    assert (book.twice, book.lost, book.unread, book.unknown) == ({"b"}, {"b"}, {"f"}, {"c"})
+    assert (book.applied_twice, book.lost, book.unreadable, book.unknown) == ({"b"}, {"b"}, {"f"}, {"c"})
     assert book.refused == {"no-room": 1} and len(book.acknowledged) == 3
 
 
@@ -267,17 +272,17 @@
     [
         (b'+OK {"a": 1}\n', ({"a": 1}, "")),
         (b"+OK\n", (None, "")),
-        (b"", (None, UNKNOWN)),
+        (b"", (None, UNKNOWN_OUTCOME)),
         (b'-ERR {"error": "no-leader", "whom": "x"}\n', (None, "no-leader")),
         (b"-ERR unknown call; known are STATUS\n", (None, "unknown call; known are STATUS")),
     ],
 )
 def test_an_answer_is_read(said: bytes, answer: object) -> None:
-    assert read_answer(said) == answer and NOBODY != UNKNOWN
+    assert read_answer(said) == answer and NOT_LISTENING != UNKNOWN_OUTCOME
 
 
 def test_what_needs_privileges_is_said_with_its_line() -> None:
-    assert unplayable(load("fleet-step")[0]).startswith("line 6: step") and not unplayable(
+    assert unsupported_reason(load("fleet-step")[0]).startswith("line 6: step") and not unsupported_reason(
         load("fleet-calm")[0]
     )
 
@@ -286,10 +291,10 @@
     text = parse(
         f"""(scenario a {FLEET} {LOAD} (contract c (customers 1) (rate 4/s) (burst 4u) (from 1s) (to 3s)))"""
     )
-    fleet = FleetStage(
+    fleet = EmulatedCluster(
         text, random.Random(1), lambda: 0.0, lambda *said, **more: None, [("127.0.0.1", 1)] * 5, []
     )
-    fleet._contract_of = {7: text.contracts[0]}
+    fleet._contract_by_customer = {7: text.contracts[0]}
     now = 0.0
     fleet._clock = lambda: now
     for now, kind in (
@@ -300,34 +305,36 @@
         (2000.0, "served"),
         (2001.0, "served"),
     ):
-        fleet.asked(7, now, 2.0, 0)(kind)
-    assert fleet.floor() is None and fleet.shortfall_error() is None  # it was not admitted
+        fleet.attempt_started(7, now, 2.0, 0)(kind)
+    assert fleet.guaranteed_fraction() is None and fleet.shortfall_error() is None  # it was not admitted
     fleet.contracts["c"] = {"admitted": True}
-    assert fleet.floor() == 0.5
-    fleet._told_short = {"c": 3.0}
+    assert fleet.guaranteed_fraction() == 0.5
+    fleet._reported_short = {"c": 3.0}
     assert fleet.shortfall_error() == pytest.approx(
         1.0 / 2.008, rel=0.01
     )  # two units were short, of 12 asked
     for other in range(1, 5):
-        fleet.links.ways[0, other].cut = True
-    fleet.asked(7, 2500.0, 4.0, 0)("refused")  # where it cannot be served: short, and no less of a floor
-    assert fleet.floor() == 0.5 and fleet._books["c"].units_short() > 3.9
+        fleet.links.directions[0, other].cut = True
+    fleet.attempt_started(7, 2500.0, 4.0, 0)(
+        "refused"
+    )  # where it cannot be served: short, and no less of a floor
+    assert fleet.guaranteed_fraction() == 0.5 and fleet._contract_ledgers["c"].units_short() > 3.9
 
 
 # Real processes -----------------------------------------------------------------------------------------
 
 
 @asynccontextmanager
-async def staged(gateways: int, folder: Path) -> AsyncIterator[tuple[Stage, FleetStage]]:
+async def staged(gateways: int, folder: Path) -> AsyncIterator[tuple[EmulatedRun, EmulatedCluster]]:
     """So many real gateways, founded, with promises being made; at the end none is lost."""
-    stage = Stage(
+    stage = EmulatedRun(
         parse(f"(scenario short (gateways {gateways} (fleet on)) (servers 1) (proposals 30/s))"), 1, folder
     )
     try:
         await stage.open()
-        fleet = stage.fleet
+        fleet = stage.cluster
         assert fleet is not None
-        fleet.begin({})
+        fleet.start({})
         yield stage, fleet
         await fleet.finish()
         made = fleet.figures([])
@@ -337,28 +344,30 @@
             1,
             0,
         )
-        assert made.promises_acknowledged == len(fleet.book.acknowledged) > 0
+        assert made.promises_acknowledged == len(fleet.ledger.acknowledged) > 0
     finally:
         await stage.close()
 
 
-async def promised(fleet: FleetStage, more: int = 15) -> None:
+async def promised(fleet: EmulatedCluster, more: int = 15) -> None:
     """Wait until so many further promises are acknowledged."""
-    least = len(fleet.book.acknowledged) + more
-    assert await fleet.until(lambda: len(fleet.book.acknowledged) >= least, 30.0), fleet.book.figures()
+    least = len(fleet.ledger.acknowledged) + more
+    assert await fleet.wait_until(lambda: len(fleet.ledger.acknowledged) >= least, 30.0), (
+        fleet.ledger.figures()
+    )
 
 
 def test_a_machine_lost_with_its_disk_loses_nothing_and_comes_back_as_a_newcomer(tmp_path: Path) -> None:
     async def test() -> None:
         async with staged(3, tmp_path) as (stage, fleet):
             await promised(fleet)
-            before = {status["me"] for status in fleet.seen.values()}
-            lost = fleet.seen[0]["me"]
-            await stage.happen(Fault(0.0, "lose", "gateway", ((1,),)))
+            before = {status["me"] for status in fleet.statuses.values()}
+            lost = fleet.statuses[0]["me"]
+            await stage.inject_fault(Fault(0.0, "lose", "gateway", ((1,),)))
             await promised(fleet)  # two of three go on
-            await stage.happen(Fault(0.0, "start", "gateway", ((1,),)))
-            assert await fleet.until(fleet.whole, 30.0)
-            after = {status["me"] for status in fleet.seen.values()}
+            await stage.inject_fault(Fault(0.0, "start", "gateway", ((1,),)))
+            assert await fleet.wait_until(fleet.replicas_complete, 30.0)
+            after = {status["me"] for status in fleet.statuses.values()}
             assert before - after == {lost} and len(after) == 3  # under a new incarnation
             await promised(fleet)
 
@@ -369,14 +378,14 @@
     async def test() -> None:
         async with staged(5, tmp_path) as (stage, fleet):
             await promised(fleet)
-            await stage.happen(Fault(0.0, "cut", "gateways", ((1, 2), (3, 4, 5))))
+            await stage.inject_fault(Fault(0.0, "cut", "gateways", ((1, 2), (3, 4, 5))))
             await promised(fleet, 30)
-            await stage.happen(Fault(0.0, "mend", "gateways"))
-            await stage.happen(Fault(0.0, "freeze", "gateway", ((4,),)))
+            await stage.inject_fault(Fault(0.0, "mend", "gateways"))
+            await stage.inject_fault(Fault(0.0, "freeze", "gateway", ((4,),)))
             await promised(fleet, 30)
-            await stage.happen(Fault(0.0, "thaw", "gateway", ((4,),)))
-            assert await fleet.until(fleet.whole, 30.0)
-            assert set(fleet.seen) == set(range(5))
+            await stage.inject_fault(Fault(0.0, "thaw", "gateway", ((4,),)))
+            assert await fleet.wait_until(fleet.replicas_complete, 30.0)
+            assert set(fleet.statuses) == set(range(5))
 
     play(test, 90.0)
 
@@ -386,11 +395,11 @@
         text = parse("""(scenario rolls (length 1s) (gateways 3 (fleet on)) (servers 2 (work 5ms..15ms) (connections 4))
             (plan p (rate 20/s) (burst 40u)) (customers 3 (plan p) (spread 3) (demand 0.5x)) (proposals 10/s)
             (roll all (from 0s)))""")
-        stage = Stage(text, 1, tmp_path)
+        stage = EmulatedRun(text, 1, tmp_path)
         await stage.play()  # clients ask until the roll is over
-        made = stage.fleet_figures()
+        made = stage.cluster_figures()
         assert (made.roll_state, made.roll_lost, made.connections_over, made.bad()) == ("done", 0, 0, [])
-        assert stage.fleet is not None and stage.fleet.rolls[0]["restarts"] == 3
-        assert stage.counts["served"] > 0 and max(one.most_open for one in stage._servers) > 0
+        assert stage.cluster is not None and stage.cluster.rolls[0]["restarts"] == 3
+        assert stage.counts["served"] > 0 and max(one.max_open_connections for one in stage._servers) > 0
 
     play(test, 110.0)
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -12,9 +12,9 @@
 
 from badgeryoke.testbed.checkers.quota_checker import QuotaChecker
 from badgeryoke.testbed.commands import resize, summary
-from badgeryoke.testbed.emulator.clients import Door
-from badgeryoke.testbed.emulator.resp import _value
-from badgeryoke.testbed.emulator.run import Stage
+from badgeryoke.testbed.emulator.clients import ClientPool
+from badgeryoke.testbed.emulator.resp import _parse_value
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.result import within_stated
 from badgeryoke.testbed.report.write import compare_folders, write_folder
 from badgeryoke.testbed.scenario.model import Fault, PlanText, Scenario
@@ -129,8 +129,8 @@
     ],
 )
 def test_the_emulators_own_resp(data: bytes, value: object) -> None:
-    assert _value(data, 0) == (value, len(data))
-    assert all(_value(data[:cut], 0) is None for cut in range(len(data)))
+    assert _parse_value(data, 0) == (value, len(data))
+    assert all(_parse_value(data[:cut], 0) is None for cut in range(len(data)))
 
 
 def test_another_number_of_gateways_keeps_a_split_whole() -> None:
@@ -159,7 +159,7 @@
 def test_a_real_gateway_serves_an_emulated_fleet(tmp_path: Path) -> None:
     """One process on sockets, with the watch on: one answer a try, and its log tells what it believes."""
     text = replace(load("demo")[0], length_ms=1500.0, gateways=1, started=1)
-    stage = Stage(text, 1, tmp_path)
+    stage = EmulatedRun(text, 1, tmp_path)
     result = asyncio.run(stage.play())
     assert result.verdict.tries > 10 and stage.counts["served"] > 10
     assert result.verdict.unanswered == result.verdict.twice_answered == 0
@@ -170,9 +170,9 @@
 def test_a_door_that_nobody_opens_loses_what_waits() -> None:
     async def ask() -> list[str]:
         said: list[str] = []
-        door = Door(("127.0.0.1", 1))
+        door = ClientPool(("127.0.0.1", 1))
         door.up = True
-        assert door.ask(b"x", lambda kind, wait: said.append(kind))
+        assert door.submit(b"x", lambda kind, wait: said.append(kind))
         for _ in range(50):
             await asyncio.sleep(0.01)
             if said:
