--- a/badgeryoke/testbed/emulator/clients.py
+++ b/badgeryoke/testbed/emulator/clients.py
@@ -75,7 +75,7 @@
             self._queued.popleft()[1]("lost", 0.0)
 
     async def ping(self, timeout_s: float) -> bool:
-        """Whether the gateway answers PING with PONG within `within_s`; PING is sent at least once."""
+        """Whether the gateway answers PING with PONG within `timeout_s`; PING is sent at least once."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
         while True:
--- a/badgeryoke/testbed/emulator/cluster.py
+++ b/badgeryoke/testbed/emulator/cluster.py
@@ -104,7 +104,7 @@
         self.roll_lost = 0
         self.roll_state: str | None = None
         # Finished rolling restarts, with their duration and the minimum duration.
-        self.rolls: list[dict[str, Any]] = []
+        self.rolling_restarts: list[dict[str, Any]] = []
         self._restart_phases: dict[int, dict[str, float]] = {}
         # Duration of each gateway's restart, without scheduling delays.
         self._restart_durations_ms: list[float] = []
@@ -240,57 +240,61 @@
         previous_state, asked_at, remaining_kills = "", self._clock(), list(text.kill_leader)
         while self.roll_state not in ("done", "failed", "cancelled"):
             known, error = await self.call("RollsRead", id="lab/read")
-            value = next((one for one in known or () if one["roll"] == text.name), None)
+            value = next((restart for restart in known or () if restart["roll"] == text.name), None)
             if not error and value is not None:
                 self.roll_state = value["state"]
                 state = json.dumps([value["state"], value.get("why"), value.get("gateways")], sort_keys=True)
                 if state != previous_state:
                     self._event("roll", name=text.name, state=value)
                 previous_state = state
-                if found := next(
-                    (stand for stand in remaining_kills if stand in value["gateways"].values()), ""
+                if reached := next(
+                    (planned for planned in remaining_kills if planned in value["gateways"].values()), ""
                 ):
-                    remaining_kills.remove(found)
-                    await self._kill_leader(found)
+                    remaining_kills.remove(reached)
+                    await self._kill_leader(reached)
             await asyncio.sleep(POLL_S / 2)
-        took = self._clock() - asked_at
+        duration_ms = self._clock() - asked_at
         await self.wait_until(lambda: not self._restart_phases, 5.0)
-        self._record_rolling_restart(text, took, remaining_kills)
+        self._record_rolling_restart(text, duration_ms, remaining_kills)
         self._event(
-            "roll", name=text.name, state=self.roll_state, lost=self.roll_lost - before, **self.rolls[-1]
+            "roll",
+            name=text.name,
+            state=self.roll_state,
+            lost=self.roll_lost - before,
+            **self.rolling_restarts[-1],
         )
 
-    def _record_rolling_restart(self, text: RollText, took: float, remaining_kills: list[str]) -> None:
+    def _record_rolling_restart(self, text: RollText, duration_ms: float, remaining_kills: list[str]) -> None:
         """Record a rolling restart's duration, and the minimum that the limits allow if each gateway takes the mean
         time of this restart."""
         groups = {
-            group: tuple(one.partition("/")[0] for one in facts["voters"])
+            group: tuple(voter.partition("/")[0] for voter in facts["voters"])
             for status in self.statuses.values()
             for group, facts in status["groups"].items()
             if facts["behind"] is not None
         }
-        halls = {f"g{index + 1}": str(index % self.scenario.halls) for index in range(self.scenario.gateways)}
-        wave = (
+        zones = {f"g{index + 1}": str(index % self.scenario.halls) for index in range(self.scenario.gateways)}
+        mean_restart_ms = (
             sum(self._restart_durations_ms) / len(self._restart_durations_ms)
             if self._restart_durations_ms
             else 0.0
         )
         minimum_ms = minimum_duration_ms(
-            [f"g{number}" for number in text.gateways], groups, halls, text.at_once, 0.0, wave
+            [f"g{number}" for number in text.gateways], groups, zones, text.at_once, 0.0, mean_restart_ms
         )
-        self.rolls.append(
+        self.rolling_restarts.append(
             {
                 "roll": text.name,
-                "took_ms": round(took, 1),
+                "took_ms": round(duration_ms, 1),
                 "least_ms": round(minimum_ms, 1),
-                "wave_ms": round(wave, 1),
+                "wave_ms": round(mean_restart_ms, 1),
                 "restarts": len(self._restart_durations_ms),
                 "not_killed_at": remaining_kills,
-                "ratio": round(took / minimum_ms, 3) if minimum_ms else None,
+                "ratio": round(duration_ms / minimum_ms, 3) if minimum_ms else None,
             }
         )
 
-    async def _kill_leader(self, stand: str) -> None:
+    async def _kill_leader(self, state: str) -> None:
         """Kill the gateway that leads the cluster's own group, which schedules rolling restarts, and start it again
         later."""
         await self.poll()
@@ -300,10 +304,10 @@
             if (facts := status["groups"].get(FLEET)) is not None and facts["behind"] is not None
         }
         if not leaders or self.kill_gateway is None or self.start_gateway is None:
-            self._event("leader not found", stand=stand)
+            self._event("leader not found", stand=state)
             return
         index = leaders[max(leaders)]
-        self._event("leader killed", gateway=index + 1, stand=stand)
+        self._event("leader killed", gateway=index + 1, stand=state)
         self._loss_times_ms.append(self._clock())
         await self.kill_gateway(index)
         self._restart_tasks.append(
@@ -428,9 +432,9 @@
                 )
                 if (
                     lease["asked"] > 0.0
-                    and len(took := self._lease_call_ms.setdefault(name, [])) < MAX_LEASE_SAMPLES
+                    and len(durations := self._lease_call_ms.setdefault(name, [])) < MAX_LEASE_SAMPLES
                 ):
-                    took.append(lease["call_ms"])
+                    durations.append(lease["call_ms"])
             for group, facts in status["groups"].items():
                 if facts["behind"] is not None:  # this gateway leads the group
                     self._leaders.setdefault((group, facts["term"]), set()).add(status["me"])
@@ -454,7 +458,7 @@
                 for status in self.statuses.values()
                 if (facts := status["groups"].get(group)) is not None and facts["behind"] is not None
             ]
-            facts = max(leaders, key=lambda one: int(one["term"]), default=None)
+            facts = max(leaders, key=lambda candidate: int(candidate["term"]), default=None)
             if (
                 facts is None
                 or facts["behind"]
@@ -541,30 +545,34 @@
             value, error = await self.call("ContractsRead")
             self._event("contracts", told=value, error=error)
             if not error:
-                for name, one in value["contracts"].items():
-                    self._reported_short[name] = sum(one["short"].values())
-                    ledger, took = self._contract_ledgers[name], sorted(self._lease_call_ms.get(name, [0.0]))
+                for name, report in value["contracts"].items():
+                    self._reported_short[name] = sum(report["short"].values())
+                    ledger, lease_call_ms = (
+                        self._contract_ledgers[name],
+                        sorted(self._lease_call_ms.get(name, [0.0])),
+                    )
                     # The gateways' own count of units drawn, which excludes requests served without a
                     # reservation.
                     drawn = sum(
                         units for (contract, _), units in self._drawn_units.items() if contract == name
                     )
                     due = sum(due for due, _ in ledger.times)
-                    without_lease = one["short"].get("no lease", 0.0)
+                    without_lease = report["short"].get("no lease", 0.0)
                     self.contracts[name].update(
                         lacked_error=round(
                             abs(without_lease - due + drawn)
                             / max(due - drawn, MIN_ERROR_BASE_FRACTION * due, 1.0),
                             4,
                         ),
-                        state=one["state"],
+                        state=report["state"],
                         worst=dict(
-                            sorted(self._served_fractions(name).items(), key=lambda found: found[1])[:5]
+                            sorted(self._served_fractions(name).items(), key=lambda item: item[1])[:5]
                         ),
                         lease_ms={
-                            f"p{part}": round(took[len(took) * part // 100], 1) for part in (50, 90, 99)
+                            f"p{percentile}": round(lease_call_ms[len(lease_call_ms) * percentile // 100], 1)
+                            for percentile in (50, 90, 99)
                         },
-                        told_short={cause: round(units, 2) for cause, units in one["short"].items()},
+                        told_short={cause: round(units, 2) for cause, units in report["short"].items()},
                         drawn=round(drawn, 1),
                         short=round(ledger.units_short(), 2),
                         due=round(due, 1),
@@ -592,12 +600,15 @@
             contract_floor=self.guaranteed_fraction(),
             shortfall_error=self.shortfall_error(),
             connections_over=(
-                max(max(one.max_open_connections - scenario.connections, 0) for one in servers)
+                max(max(server.max_open_connections - scenario.connections, 0) for server in servers)
                 if scenario.connections
                 else None
             ),
             roll_state=self.roll_state,
             roll_lost=self.roll_lost if scenario.rolls else None,
             invariants_broken=sum(self._invariant_violations.values()),
-            roll_ratio=max((one["ratio"] for one in self.rolls if one["ratio"] is not None), default=None),
+            roll_ratio=max(
+                (restart["ratio"] for restart in self.rolling_restarts if restart["ratio"] is not None),
+                default=None,
+            ),
         )
--- a/badgeryoke/testbed/emulator/run.py
+++ b/badgeryoke/testbed/emulator/run.py
@@ -57,7 +57,7 @@
         self._rng = random.Random(f"{scenario.name}/{seed}")
         self._temporary_folder = tempfile.TemporaryDirectory() if folder is None else None
         self.folder = folder or Path(self._temporary_folder.name if self._temporary_folder else ".")
-        self.referee = QuotaChecker(scenario.plans, scenario.trouble)
+        self.quota_checker = QuotaChecker(scenario.plans, scenario.trouble)
         self.cluster: EmulatedCluster | None = None
         self._killed: set[int] = set()  # gateways that a fault has killed and that are not started again
         self._tasks: list[asyncio.Task[None]] = []
@@ -105,7 +105,7 @@
         finally:
             gc.enable()
             await self.close()
-        return conclude(self.scenario, self.seed, self.referee, self.beliefs, self.counter.calls, 0.0)
+        return conclude(self.scenario, self.seed, self.quota_checker, self.beliefs, self.counter.calls, 0.0)
 
     async def open(self) -> None:
         """Start all parties and wait until the gateways have discovered each other; then the run's time begins."""
@@ -131,7 +131,7 @@
             self.cluster.kill_gateway, self.cluster.start_gateway = self._kill, self._start
         for index in range(scenario.gateways):
             body = endpoint_list_json(
-                {one.number: f"127.0.0.1:{one.ports[index]}" for one in self._servers},
+                {upstream.number: f"127.0.0.1:{upstream.ports[index]}" for upstream in self._servers},
                 range(1, scenario.cold + 1),
                 int(time.time() * 1000.0),
             )
@@ -202,7 +202,7 @@
                 self._schedule_next_attempt(customer, 0.0)
         self._measure(loop.time())
         if self.cluster is not None:
-            self.cluster.start({number + 1: one.number for number, one in enumerate(self._customers)})
+            self.cluster.start({number + 1: listed.number for number, listed in enumerate(self._customers)})
             self._tasks.append(loop.create_task(self._supervise()))
         for fault in scenario.faults:
             await asyncio.sleep(max(fault.at_ms - self.now, 0.0) / 1000.0)
@@ -250,12 +250,12 @@
             and not await self.cluster.wait_replicas_complete()
         ):
             return
-        ran = index >= 0 and self._gateways[index].running
-        if fault.word in ("kill", "lose", "spoil") and ran:
+        was_running = index >= 0 and self._gateways[index].running
+        if fault.word in ("kill", "lose", "spoil") and was_running:
             await self._kill(index)
         if self.cluster is not None:
             await self.cluster.inject_fault(fault)
-        if fault.word == "start" or (fault.word == "spoil" and ran):
+        if fault.word == "start" or (fault.word == "spoil" and was_running):
             await self._start(index)
 
     async def _supervise(self) -> None:
@@ -300,11 +300,11 @@
             for gateway in self._gateways:
                 gateway.update_peak_memory()
             gc.collect(0)
-            step = int((self.now - 1000.0) // self.referee.step_ms)
+            step = int((self.now - 1000.0) // self.quota_checker.step_ms)
             rows = [
                 sums
                 for index in range(step, step + 4)
-                for sums in self.referee.totals_by_step.get(index, {}).values()
+                for sums in self.quota_checker.totals_by_step.get(index, {}).values()
             ]
             self._show(
                 {
@@ -361,12 +361,12 @@
             self.counts[kind] += 1
             record_outcome(kind)
             if kind == "lost":
-                self.referee.request_abandoned(request_id)
+                self.quota_checker.request_abandoned(request_id)
                 if self.cluster is not None and index not in self._killed:
                     self.cluster.roll_lost += 1
                     self._event("lost", gateway=index + 1, asked_at=round(sent, 1), up=self._pools[index].up)
                 return
-            self.referee.response_received(self.now, request_id, kind)
+            self.quota_checker.response_received(self.now, request_id, kind)
             self.latency[kind].record_value(max(int((self.now - sent) * 1000.0), 1))
 
         record_outcome = (
@@ -374,7 +374,7 @@
             if self.cluster is not None
             else lambda kind: None
         )
-        self.referee.request_sent(sent, request_id, customer.number, plan, units, index)
+        self.quota_checker.request_sent(sent, request_id, customer.number, plan, units, index)
         if not self._pools[index].submit(
             encode_command(b"SVC.QUERY", b"%016x" % customer.number, request_id.encode(), fields.encode()),
             done,
@@ -382,7 +382,7 @@
             done("lost")
 
     def _command_arrived(self, customer: int, request_id: str, fields: dict[str, str], gateway: int) -> None:
-        self.referee.attempt_arrived(
+        self.quota_checker.attempt_arrived(
             self.now, request_id, customer, fields["t"], float(fields["units"]), gateway
         )
 
@@ -390,13 +390,13 @@
         """Process a line of a gateway's log."""
         if self.cluster is not None:
             self.cluster.log_line(index, line)
-        found = COUNTER_HEALTH_LINE.search(line)
-        if found is None:
+        match = COUNTER_HEALTH_LINE.search(line)
+        if match is None:
             if " badgeryoke.fleet: " in line and len(self.events) < MAX_EVENTS:
                 self._event("said", gateway=index + 1, line=line[:MAX_LOG_LINE_CHARS])
             return
-        hidden = tuple(int(word) for word in (found.group(3) or "[]").strip("[]").split(",") if word.strip())
-        shown = Shown(round(self.now, 1), index, found.group(1), found.group(2).strip(), hidden)
+        hidden = tuple(int(word) for word in (match.group(3) or "[]").strip("[]").split(",") if word.strip())
+        shown = Shown(round(self.now, 1), index, match.group(1), match.group(2).strip(), hidden)
         if shown.at_ms >= 0 or shown.belief != "sound":
             self.beliefs.append(shown)
         self._event(
@@ -412,18 +412,18 @@
         return {
             "latency_ms": {
                 kind: {
-                    f"p{part:g}": round(one.get_value_at_percentile(part) / 1000.0, 2)
-                    for part in (50, 90, 99, 99.9)
+                    f"p{percentile:g}": round(histogram.get_value_at_percentile(percentile) / 1000.0, 2)
+                    for percentile in (50, 90, 99, 99.9)
                 }
-                for kind, one in self.latency.items()
-                if one.get_total_count()
+                for kind, histogram in self.latency.items()
+                if histogram.get_total_count()
             },
             "memory_mb": [round(gateway.peak_kb / 1024.0, 1) for gateway in self._gateways],
             "emulator_lag_ms": round(self.max_lag_ms, 1),
             **(
                 {
                     "promises": self.cluster.ledger.figures(),
-                    "rolls": self.cluster.rolls,
+                    "rolls": self.cluster.rolling_restarts,
                     "contracts": self.cluster.contracts,
                 }
                 if self.cluster is not None
--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -399,7 +399,7 @@
         await stage.play()  # clients ask until the roll is over
         made = stage.cluster_figures()
         assert (made.roll_state, made.roll_lost, made.connections_over, made.bad()) == ("done", 0, 0, [])
-        assert stage.cluster is not None and stage.cluster.rolls[0]["restarts"] == 3
+        assert stage.cluster is not None and stage.cluster.rolling_restarts[0]["restarts"] == 3
         assert stage.counts["served"] > 0 and max(one.max_open_connections for one in stage._servers) > 0
 
     play(test, 110.0)
