--- a/badgeryoke/testbed/cluster_benchmark.py
+++ b/badgeryoke/testbed/cluster_benchmark.py
@@ -42,7 +42,7 @@
 from badgeryoke.gateway.cluster.settings import ClusterSettings, MemberEntry, Servers
 from badgeryoke.testbed.cluster_simulation.fault_plan import Plan
 from badgeryoke.testbed.cluster_simulation.generated_plans import play_seed
-from badgeryoke.testbed.cluster_simulation.world import FleetWorld
+from badgeryoke.testbed.cluster_simulation.world import SimulatedCluster
 from badgeryoke.testbed.emulator.resp import encode_command
 from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.result import DEADLINE_MS
@@ -308,12 +308,12 @@
 def messages() -> None:
     """An idle fleet in simulated time: five seconds of it, from when it has been founded for long."""
     for members in (3, 40, 200):
-        world = FleetWorld(Plan(seed=1, members=members, halls=2, length_ms=25_000.0))
+        world = SimulatedCluster(Plan(seed=1, members=members, halls=2, length_ms=25_000.0))
         for name in world.machines:
             world.start(name)
-        world.calendar.run(20_000.0)
+        world.event_queue.run(20_000.0)
         before = dict(world.network.messages)
-        world.calendar.run(25_000.0)
+        world.event_queue.run(25_000.0)
         sent = sorted((many - before.get(name, 0)) / 5.0 for name, many in world.network.messages.items())
         founded = sum(
             one.node is not None and one.node.bootstrap.record is not None for one in world.machines.values()
--- a/badgeryoke/testbed/cluster_simulation/__init__.py
+++ b/badgeryoke/testbed/cluster_simulation/__init__.py
@@ -1,2 +1,2 @@
-"""The fleet in simulated time: many nodes, what lies between them, and a referee that believes only what
-it saw."""
+"""The cluster in simulated time: many nodes, the network, clocks and disks between them, and checks that rely only
+on observed calls, messages and disk contents."""
--- a/badgeryoke/testbed/cluster_simulation/disk.py
+++ b/badgeryoke/testbed/cluster_simulation/disk.py
@@ -1,9 +1,8 @@
-"""A member's simulated store: what is asked for becomes durable with the next fsync, and a crash loses the
-rest.
+"""A member's simulated disk: records become durable with the next fsync, and a crash loses all others.
 
-One fsync is under way at a time and takes all that was asked before it began.  At a crash a prefix of what
-was under way may have come through.  A wiped or damaged store begins anew with another incarnation, as the
-product's does; a full one breaks.  Bounds: none of its own; what is asked is what the nodes ask.
+One fsync runs at a time and covers all records queued before it began.  After a crash, a prefix of the records of
+the running fsync may be durable.  A wiped or damaged disk starts empty with another incarnation, as the gateway's
+storage does; writes to a full disk fail.  The queue is unbounded: it holds what the nodes have not yet had stored.
 """
 
 from __future__ import annotations
@@ -28,75 +27,77 @@
     StorageFailure,
 )
 from badgeryoke.cluster.messages import EntryKind, GroupConfiguration, LogEntry
-from badgeryoke.testbed.cluster_simulation.network import Calendar
+from badgeryoke.testbed.cluster_simulation.network import EventQueue
 
 
 @dataclass(slots=True)
-class Kept:
-    """What is durable of one group."""
+class StoredGroup:
+    """The durable state of one group."""
 
     term: int = 0
     vote: str = ""
     snapshot: Snapshot | None = None
     entries: list[LogEntry] = field(default_factory=list)
-    config: GroupConfiguration | None = None  # the members that the log names last
-    config_at: int = 0
+    config: GroupConfiguration | None = None  # latest configuration in the log
+    config_index: int = 0
 
     @property
-    def last(self) -> int:
-        """The last index."""
+    def last_index(self) -> int:
+        """The index of the last entry."""
         if self.entries:
             return self.entries[-1].index
         return self.snapshot.last_included_index if self.snapshot else 0
 
     @property
     def last_term(self) -> int:
-        """Its term."""
+        """The term of the last entry."""
         if self.entries:
             return self.entries[-1].term
         return self.snapshot.last_included_term if self.snapshot else 0
 
-    def at(self, index: int) -> LogEntry | None:
-        """The entry there, where it has not gone into the snapshot."""
+    def entry_at(self, index: int) -> LogEntry | None:
+        """The entry at an index; None if the log does not hold it, or only in its snapshot."""
         if not self.entries or not self.entries[0].index <= index <= self.entries[-1].index:
             return None
         return self.entries[index - self.entries[0].index]
 
-    def take(self, record: Record) -> None:
+    def apply(self, record: Record) -> None:
         """Make a record of this group durable."""
         if isinstance(record, Entries):
             if record.entries:
                 first = record.entries[0].index
-                held = self.entries
-                cut = bool(held) and first <= held[-1].index
-                if cut:
-                    del held[max(first - held[0].index, 0) :]
-                held.extend(record.entries)
-                self._name(held if cut and self.config_at >= first else record.entries)
+                log = self.entries
+                truncates = bool(log) and first <= log[-1].index
+                if truncates:
+                    del log[max(first - log[0].index, 0) :]
+                log.extend(record.entries)
+                self._update_config(log if truncates and self.config_index >= first else record.entries)
         elif isinstance(record, HardState):
             self.term, self.vote = record.current_term, record.voted_for
         elif isinstance(record, Snapshot):
-            matches, before = self.at(record.last_included_index), self.snapshot
-            # A log that goes on from the snapshot keeps its tail; another's tail goes with what lay before.
-            keep = (matches is not None and matches.term == record.last_included_term) or (
-                before is not None
-                and (before.last_included_index, before.last_included_term)
+            local_entry, previous = self.entry_at(record.last_included_index), self.snapshot
+            # A log that contains the snapshot's last entry keeps the entries after it; any other is discarded.
+            keeps_tail = (local_entry is not None and local_entry.term == record.last_included_term) or (
+                previous is not None
+                and (previous.last_included_index, previous.last_included_term)
                 == (record.last_included_index, record.last_included_term)
             )
             self.snapshot = record
             self.entries = (
-                [entry for entry in self.entries if entry.index > record.last_included_index] if keep else []
+                [entry for entry in self.entries if entry.index > record.last_included_index]
+                if keeps_tail
+                else []
             )
-            if not keep or self.config_at <= record.last_included_index:
-                self._name(self.entries)
+            if not keeps_tail or self.config_index <= record.last_included_index:
+                self._update_config(self.entries)
 
-    def _name(self, entries: Sequence[LogEntry]) -> None:
-        """Look for the members that the log names last, among the entries that may do so."""
+    def _update_config(self, entries: Sequence[LogEntry]) -> None:
+        """Update the latest configuration from the entries that may contain it."""
         if (entries is self.entries or self.config is None) and self.snapshot is not None:
-            self.config, self.config_at = self.snapshot.config, self.snapshot.last_included_index
+            self.config, self.config_index = self.snapshot.config, self.snapshot.last_included_index
         for entry in reversed(entries):
             if entry.kind == EntryKind.CONFIG:
-                self.config, self.config_at = (
+                self.config, self.config_index = (
                     msgspec.msgpack.decode(entry.body, type=GroupConfiguration),
                     entry.index,
                 )
@@ -104,78 +105,84 @@
 
 
 class Disk:
-    """One machine's.  `tell(life, event)` gives the process of that life what came of a Store."""
+    """The disk of one machine.
 
-    def __init__(self, calendar: Calendar, draw: Random, tell: Callable[[int, NodeEvent], None]) -> None:
-        self._calendar, self._draw, self._tell = calendar, draw, tell
+    `notify(process_number, event)` passes the outcome of `PersistRecords` to the process that requested it.
+    """
+
+    def __init__(
+        self, event_queue: EventQueue, rng: Random, notify: Callable[[int, NodeEvent], None]
+    ) -> None:
+        self._event_queue, self._rng, self._notify = event_queue, rng, notify
         self.fsync_ms = (0.5, 3.0)
         self.full = False
-        self.groups: dict[str, Kept] = {}
-        self.lost: dict[str, dict[str, Kept]] = {}  # what stood on it before it was wiped, by incarnation
-        self.incarnation = self._drawn()
+        self.groups: dict[str, StoredGroup] = {}
+        self.wiped_groups: dict[str, dict[str, StoredGroup]] = {}  # contents before each wipe, by incarnation
+        self.incarnation = self._new_incarnation()
         self.syncs = 0
-        self._life = 0  # of the process that writes
-        self._asked: list[PersistRecords] = []
-        self._under_way: list[PersistRecords] = []
+        self._process_number = 0  # the process that writes; -1 after a crash
+        self._queued: list[PersistRecords] = []
+        self._syncing: list[PersistRecords] = []
 
-    def _drawn(self) -> str:
-        return f"{self._draw.getrandbits(32):08x}"
+    def _new_incarnation(self) -> str:
+        return f"{self._rng.getrandbits(32):08x}"
 
-    def start(self, life: int) -> dict[str, PersistedGroup]:
-        """A process opens it."""
-        self._life = life
+    def start(self, process_number: int) -> dict[str, PersistedGroup]:
+        """Open the disk for a process and return the durable groups."""
+        self._process_number = process_number
         return {
-            name: PersistedGroup(kept.term, kept.vote, kept.snapshot, tuple(kept.entries))
-            for name, kept in sorted(self.groups.items())
+            name: PersistedGroup(stored.term, stored.vote, stored.snapshot, tuple(stored.entries))
+            for name, stored in sorted(self.groups.items())
         }
 
-    def put(self, store: PersistRecords) -> None:
-        """The running process wants this on stable storage."""
+    def persist(self, request: PersistRecords) -> None:
+        """Queue records of the running process for the next fsync; on a full disk, report a failure."""
         if self.full:
-            self._calendar.at(
-                self._calendar.now + 0.1,
-                self._tell,
-                self._life,
-                StorageFailure(StorageFailed(store.group, "no space left on device")),
+            self._event_queue.schedule(
+                self._event_queue.now + 0.1,
+                self._notify,
+                self._process_number,
+                StorageFailure(StorageFailed(request.group, "no space left on device")),
             )
             return
-        self._asked.append(store)
-        if not self._under_way:
+        self._queued.append(request)
+        if not self._syncing:
             self._sync()
 
     def _sync(self) -> None:
-        self._under_way, self._asked = self._asked, []
+        self._syncing, self._queued = self._queued, []
         self.syncs += 1
-        self._calendar.at(self._calendar.now + self._draw.uniform(*self.fsync_ms), self._synced, self._life)
+        self._event_queue.schedule(
+            self._event_queue.now + self._rng.uniform(*self.fsync_ms), self._synced, self._process_number
+        )
 
-    def _synced(self, life: int) -> None:
-        if life != self._life:
+    def _synced(self, process_number: int) -> None:
+        if process_number != self._process_number:
             return
-        done, self._under_way = self._under_way, []
-        for store in done:
-            self._write(store)
-        if self._asked:
+        written, self._syncing = self._syncing, []
+        for request in written:
+            self._write(request)
+        if self._queued:
             self._sync()
-        for store in done:
-            self._tell(life, RecordsPersisted(store.group, store.sequence))
+        for request in written:
+            self._notify(process_number, RecordsPersisted(request.group, request.sequence))
 
-    def _write(self, store: PersistRecords) -> None:
-        for record in store.records:
+    def _write(self, request: PersistRecords) -> None:
+        for record in request.records:
             if isinstance(record, DiscardGroup):
-                self.groups.pop(store.group, None)
+                self.groups.pop(request.group, None)
             else:
-                self.groups.setdefault(store.group, Kept()).take(record)
+                self.groups.setdefault(request.group, StoredGroup()).apply(record)
 
     def crash(self) -> None:
-        """The process is gone; a prefix of what was under way may be durable."""
-        for store in self._under_way[: self._draw.randint(0, len(self._under_way))]:
-            self._write(store)
-        self._asked, self._under_way = [], []
-        self._life = -1
+        """End the process; a prefix of the records of the running fsync may become durable."""
+        for request in self._syncing[: self._rng.randint(0, len(self._syncing))]:
+            self._write(request)
+        self._queued, self._syncing = [], []
+        self._process_number = -1
 
     def wipe(self) -> None:
-        """The machine is lost with its disk, or the store reads as damaged: another store, another
-        incarnation."""
-        self.lost[self.incarnation] = self.groups
+        """Replace the contents by an empty store with a new incarnation, as after a lost or damaged disk."""
+        self.wiped_groups[self.incarnation] = self.groups
         self.groups, self.full = {}, False
-        self.incarnation = self._drawn()
+        self.incarnation = self._new_incarnation()
--- a/badgeryoke/testbed/cluster_simulation/gateway.py
+++ b/badgeryoke/testbed/cluster_simulation/gateway.py
@@ -1,10 +1,10 @@
-"""What surrounds a fleet's lease holders in simulated time: tenants' traffic, servers that hold so many
-connections, rolls.
+"""Simulated gateways around the nodes of a cluster: tenants' requests, servers with connection limits, and rolling
+restarts.
 
-The referee's side of it counts what truly happens: units drawn and asked for, parts that holders believe in
-(each by its own clock) at every moment at which one changes, connections that each server has open, queries
-that ended without an answer.  A killed process's connections are reset by its machine; a lost machine's stay
-until the server's idle time has gone by.
+The simulation measures what actually happens: units requested and drawn, the sum of all shares that gateways
+consider valid by their own clocks, connections open at each server, and queries that end without an answer.  The
+connections of a killed process are reset by its machine; those of a lost machine remain until the server's idle
+timeout.
 """
 
 from __future__ import annotations
@@ -28,467 +28,525 @@
 from badgeryoke.cluster.rolling_restart.minimum_duration import minimum_duration_ms
 from badgeryoke.cluster.state_machine_part import FLEET, ApplyResult
 from badgeryoke.testbed.checkers.contract_ledger import EXCLUDED_AFTER_LOSS_MS, ExpectedLedger, worst_second
-from badgeryoke.testbed.cluster_simulation.clock import UNIX_MS
+from badgeryoke.testbed.cluster_simulation.clock import START_UNIX_MS
 from badgeryoke.testbed.scenario.model import ContractText, RollText
 
 if TYPE_CHECKING:
-    from badgeryoke.testbed.cluster_simulation.world import FleetWorld, Machine
-
-HOP_MS = (0.2, 1.0)
-PUMP_MS = 20.0
-WORK_MS = (30.0, 90.0)
-FRONT_MS = 450.0  # until clients have left a gateway that turns them away: what the product gives them
-ACT_MS = (800.0, 1400.0)  # from a roll telling a process to leave to its successor, as on sockets
-WARM_MS = 500.0
-READ_MS = 100.0  # between two readings of a roll's state
-DOWN_MS = 2000.0  # that a scheduling leader which was killed stays down
-EDGE_MS = 2500.0  # at a window's ends, of the contract's floor: leases are asked for and end
-STALE_MS = 3000.0  # a leader's view of the copies is not older
-REPORTED_MS = 6000.0  # behind the end until all units short are told
-NEED_MS = 700.0  # between changes of what a gateway needs of a server
-PHASE_MS, BUSY_MS = 9000.0, 6000.0  # a tenant's traffic comes for a while, and rests
+    from badgeryoke.testbed.cluster_simulation.world import Machine, SimulatedCluster
+
+LATENCY_MS = (0.2, 1.0)
+TICK_MS = 20.0
+QUERY_MS = (30.0, 90.0)
+FAILOVER_MS = 450.0  # time in which clients leave a gateway that rejects them, as in the real gateway
+RESTART_MS = (800.0, 1400.0)  # from a process's shutdown to the start of the next one, as with real processes
+WARM_UP_MS = 500.0
+RESTART_POLL_MS = 100.0  # between two polls of a rolling restart's state
+KILLED_LEADER_DOWN_MS = 2000.0  # time until a killed leader that schedules a rolling restart is started again
+# Excluded at both ends of a contract's window, while gateways acquire and release leases.
+EXCLUDED_EDGE_MS = 2500.0
+MAX_VIEW_AGE_MS = 3000.0  # maximum age of a leader's view of the replicas
+SHORTFALL_REPORT_MS = 6000.0  # time after the end until all units short are reported
+DEMAND_CHANGE_MS = 700.0  # mean time between changes of a gateway's connection demand
+# Period of a tenant's requests, and the part of it with requests.
+REQUEST_PERIOD_MS, REQUESTS_MS = 9000.0, 6000.0
 
 
 @dataclass(slots=True)
-class Conn:
-    """One connection, as its two ends know it."""
+class Connection:
+    """One connection, with the state of both ends."""
 
     server: str
     owner: str
-    life: int
-    open_here: bool = True  # the gateway counts it
-    open_there: bool = False  # the server does
-    ending: bool = False
-    gone: bool = False  # its machine is lost: nobody resets it
-    used: float = 0.0
+    process_number: int
+    open_at_gateway: bool = True
+    open_at_server: bool = False
+    is_closing: bool = False
+    machine_lost: bool = False  # its machine is lost, so that it is not reset
+    last_used_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class Side:
-    """One process's holders, and what it has under way."""
-
-    life: int
-    floor: ReservationClient
-    keeper: ConnectionLeaseHolder
-    rolled: RollingRestartAgent
-    conns: dict[str, list[Conn]] = field(default_factory=dict)
-    need: dict[str, int] = field(default_factory=dict)
-    need_at: float = 0.0
-    paused_at: float = math.inf
-    flights: set[int] = field(default_factory=set)
+class GatewayProcess:
+    """One gateway process: its lease clients, connections and queries in flight."""
+
+    process_number: int
+    reservation_client: ReservationClient
+    lease_holder: ConnectionLeaseHolder
+    restart_agent: RollingRestartAgent
+    connections: dict[str, list[Connection]] = field(default_factory=dict)
+    demand: dict[str, int] = field(default_factory=dict)
+    next_demand_ms: float = 0.0
+    paused_at_ms: float = math.inf
+    queries_in_flight: set[int] = field(default_factory=set)
     leaving: bool = False
 
 
 @dataclass(slots=True)
-class Deal:
-    """A contract as the referee follows it.  Times in ms of the world."""
+class SimulatedContract:
+    """One contract and its measurements.  Times in ms of simulated time."""
 
     text: ContractText
-    book: ExpectedLedger
+    ledger: ExpectedLedger
     customers: tuple[int, ...]
     tenant: str
-    doors: tuple[int, ...]
+    gateway_indexes: tuple[int, ...]
     shift_ms: float
     admitted: bool = False
     asked_at: float = math.inf
-    over: float = 0.0
-    level: float = 0.0  # of the referee's own bucket: what may still be drawn
-    level_at: float = 0.0
-    overdrawn: float = 0.0
+    max_excess: float = 0.0
+    # Units that may still be drawn from a single bucket of the contract's rate and burst.
+    bucket_level: float = 0.0
+    bucket_at_ms: float = 0.0
+    max_overdrawn: float = 0.0
     lent: float = 0.0
     offered: float = 0.0
 
-    def phase(self, true: float) -> tuple[int, float]:
-        """Which time of traffic it is, and how long ago that began."""
-        turn, since = divmod(true - self.text.from_ms, PHASE_MS)
-        return int(turn), since
+    def request_period(self, true_ms: float) -> tuple[int, float]:
+        """The number of the request period, and the time since it began."""
+        period_number, since = divmod(true_ms - self.text.from_ms, REQUEST_PERIOD_MS)
+        return int(period_number), since
 
 
-class Gates:
-    """All of it, for one world."""
+class SimulatedGateways:
+    """All gateways of one simulated cluster."""
 
-    def __init__(self, world: FleetWorld) -> None:
-        self.world, plan = world, world.plan
-        self.draw = Random(f"fleet/{plan.seed}/gates")
-        self._calendar = world.calendar
-        self.sides: dict[str, Side] = {}
-        self.servers: dict[str, list[Conn]] = {f"s{number + 1}": [] for number in range(plan.servers)}
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster, plan = cluster, cluster.plan
+        self.rng = Random(f"fleet/{plan.seed}/gates")
+        self._event_queue = cluster.event_queue
+        self.processes: dict[str, GatewayProcess] = {}
+        self.servers: dict[str, list[Connection]] = {f"s{number + 1}": [] for number in range(plan.servers)}
         self.connections_over = 0
-        self.deals = [self._deal(text) for text in plan.contracts]
-        self.losses: list[float] = []
+        self.contracts = [self._create_contract(text) for text in plan.contracts]
+        self.loss_times_ms: list[float] = []
         self.roll_lost = 0
         self.roll_states: dict[str, str] = {}
-        self._flights = 0
-        self.told_short: dict[str, float] = {}
-        self.on = bool(plan.contracts or plan.rolls or plan.connections)
-        self.away: set[str] = set()  # gateways that a roll has ended and that are not back
-        self._missing: dict[
-            tuple[str, str], float
-        ] = {}  # copies by group and Id, as the disks show, since when
-        self.drained: dict[tuple[str, str], int] = {}  # roll, gateway -> processes that a roll ended
-        self._kills = {text.name: list(text.kill_leader) for text in plan.rolls}
-        self._left_at: dict[str, float] = {}  # when a roll ended a gateway whose copies are not back
-        self._emptied: dict[
-            str, float
-        ] = {}  # the time that a gateway took from its pause until nothing was open
-        self._killed_at = -math.inf  # the last scheduler
-        self._waves: list[float] = []  # each restart by a roll, without the schedule's own time
-        self._asked_at: dict[str, float] = {}
+        self._queries_sent = 0
+        self.reported_short: dict[str, float] = {}
+        self.enabled = bool(plan.contracts or plan.rolls or plan.connections)
+        # Gateways that a rolling restart has stopped and that are not running again.
+        self.restarting: set[str] = set()
+        # When replicas, by group and member id, became incomplete on the disks.
+        self._incomplete_since: dict[tuple[str, str], float] = {}
+        # Number of processes stopped, by rolling restart and gateway.
+        self.restart_counts: dict[tuple[str, str], int] = {}
+        self._pending_kills = {text.name: list(text.kill_leader) for text in plan.rolls}
+        # When a rolling restart stopped a gateway whose replicas are not complete again.
+        self._stopped_at_ms: dict[str, float] = {}
+        self._drain_ms: dict[str, float] = {}  # time that a gateway took to drain
+        self._leader_killed_at_ms = -math.inf  # when the scheduling leader was last killed
+        # Duration of each gateway's restart, without scheduling delays.
+        self._restart_durations_ms: list[float] = []
+        self._requested_at_ms: dict[str, float] = {}
         self.roll_ratio: float | None = None
 
     # Processes ------------------------------------------------------------------------------------------
 
-    def start(self, machine: Machine, now: float) -> list[Any]:
-        """A process begins; gives its holders."""
-        if not self.on:
+    def process_started(self, machine: Machine, now: float) -> list[Any]:
+        """Start a gateway process and return its lease clients."""
+        if not self.enabled:
             return []
-        world = self.world
-        self.away.discard(machine.name)
-        who = holder_id(machine.id, f"b{machine.boot}", str(machine.life))
-        side = self.sides[machine.name] = Side(
-            machine.life,
-            ReservationClient(machine.id, str(machine.life), world.timings, machine.hall, world.plan.members),
-            ConnectionLeaseHolder(who, world.timings, world.rules, now, only_process=True),
-            RollingRestartAgent(machine.name, who),
+        cluster = self.cluster
+        self.restarting.discard(machine.name)
+        holder = holder_id(machine.id, f"b{machine.boot}", str(machine.process_number))
+        process = self.processes[machine.name] = GatewayProcess(
+            machine.process_number,
+            ReservationClient(
+                machine.id, str(machine.process_number), cluster.timings, machine.zone, cluster.plan.members
+            ),
+            ConnectionLeaseHolder(holder, cluster.timings, cluster.rules, now, only_process=True),
+            RollingRestartAgent(machine.name, holder),
+        )
+        process.reservation_client.wake = partial(
+            self._call_after_latency, cluster.wake, machine.name, process.process_number
         )
-        side.floor.wake = partial(self._later, world.nudge, machine.name, side.life)
-        self._calendar.at(
-            self._calendar.now + self.draw.uniform(1.0, PUMP_MS), self._pump, machine.name, side.life
+        self._event_queue.schedule(
+            self._event_queue.now + self.rng.uniform(1.0, TICK_MS),
+            self._tick,
+            machine.name,
+            process.process_number,
         )
-        return [side.floor, side.keeper, side.rolled]
+        return [process.reservation_client, process.lease_holder, process.restart_agent]
 
-    def ended(self, machine: Machine, lost: bool) -> None:
-        """A process is gone: its kernel resets what was open, a lost machine does not."""
-        side = self.sides.pop(machine.name, None)
-        if side is None:
+    def process_ended(self, machine: Machine, lost: bool) -> None:
+        """End a gateway process: its kernel resets its connections, unless the machine is lost."""
+        process = self.processes.pop(machine.name, None)
+        if process is None:
             return
-        if side.leaving:
-            self.roll_lost += len(side.flights)
-        for conns in side.conns.values():
-            for conn in conns:
-                conn.open_here = False
-                conn.gone = lost
+        if process.leaving:
+            self.roll_lost += len(process.queries_in_flight)
+        for connections in process.connections.values():
+            for connection in connections:
+                connection.open_at_gateway = False
+                connection.machine_lost = lost
                 if not lost:
-                    self._later(self._let_go, conn)
+                    self._call_after_latency(self._close_at_server, connection)
 
-    def loss(self) -> None:
-        """Something was lost: the contract's floor is not judged for a while."""
-        self.losses.append(self._calendar.now)
+    def record_loss(self) -> None:
+        """Record a loss; the guaranteed rate excludes the time after it."""
+        self.loss_times_ms.append(self._event_queue.now)
 
-    def _later(self, what: Callable[..., None], *args: Any) -> None:
-        self._calendar.at(self._calendar.now + self.draw.uniform(*HOP_MS), what, *args)
+    def _call_after_latency(self, function: Callable[..., None], *args: Any) -> None:
+        self._event_queue.schedule(self._event_queue.now + self.rng.uniform(*LATENCY_MS), function, *args)
 
-    def _pump(self, name: str, life: int) -> None:
-        machine, side = self.world.machines[name], self.sides.get(name)
-        if side is None or side.life != life or self.world.over:
+    def _tick(self, name: str, process_number: int) -> None:
+        machine, process = self.cluster.machines[name], self.processes.get(name)
+        if process is None or process.process_number != process_number or self.cluster.stopped:
             return
-        waits = False
+        has_waiting = False
         if machine.up:
-            now = machine.clock.now(self._calendar.now)
-            if self.deals:
-                waits = self._turns(machine, side, now)
-                self._measure()
+            now = machine.clock.now(self._event_queue.now)
+            if self.contracts:
+                has_waiting = self._finish_waits(machine, process, now)
+                self._measure_shares()
             try:
                 if self.servers:
-                    self._pool(name, side, now)
-                if self.world.plan.rolls:
-                    self._roll(machine, side, now)
+                    self._update_connections(name, process, now)
+                if self.cluster.plan.rolls:
+                    self._run_restart_agent(machine, process, now)
             except InvariantViolation as fault:
-                self.world.found(fault.rule.name, f"{name}: {fault}")
+                self.cluster.record_finding(fault.rule.name, f"{name}: {fault}")
                 return
-        self._calendar.at(self._calendar.now + (PUMP_MS / 2.0 if waits else PUMP_MS), self._pump, name, life)
+        self._event_queue.schedule(
+            self._event_queue.now + (TICK_MS / 2.0 if has_waiting else TICK_MS),
+            self._tick,
+            name,
+            process_number,
+        )
 
     # Connections ----------------------------------------------------------------------------------------
 
-    def _pool(self, name: str, side: Side, now: float) -> None:
-        true, draw, keeper = self._calendar.now, self.draw, side.keeper
-        plan = self.world.plan
-        if true >= side.need_at:
-            side.need_at = true + NEED_MS * draw.uniform(0.5, 1.5)
-            most = max(2 * plan.connections // plan.members, 2)
+    def _update_connections(self, name: str, process: GatewayProcess, now: float) -> None:
+        true_ms, rng, lease_holder = self._event_queue.now, self.rng, process.lease_holder
+        plan = self.cluster.plan
+        if true_ms >= process.next_demand_ms:
+            process.next_demand_ms = true_ms + DEMAND_CHANGE_MS * rng.uniform(0.5, 1.5)
+            max_demand = max(2 * plan.connections // plan.members, 2)
             for server in self.servers:
-                side.need[server] = draw.choice((0, 1, 2, draw.randint(0, most), draw.randint(0, most)))
-        drained = side.paused_at < true - FRONT_MS
+                process.demand[server] = rng.choice(
+                    (0, 1, 2, rng.randint(0, max_demand), rng.randint(0, max_demand))
+                )
+        drained = process.paused_at_ms < true_ms - FAILOVER_MS
         for server in self.servers:
-            need = 0 if drained else side.need[server]
-            conns = [conn for conn in side.conns.get(server, ()) if conn.open_here]
-            keeper.set_need(server, need)
-            if keeper.lease_valid(now, server):
-                for conn in conns[: max(need, 1)]:
-                    conn.used = true
-            if keeper.draining or drained:
-                for conn in conns[need:]:
-                    self._close(side, conn)
-            while len(conns) < need and keeper.may_open(now, server):
-                keeper.opened(now, server)
-                conn = Conn(server, name, side.life, used=true)
-                conns.append(conn)
-                side.conns.setdefault(server, []).append(conn)
-                self._later(self._reach, conn)
-        for server, many in keeper.excess(now):
-            left = [conn for conn in side.conns.get(server, ()) if conn.open_here and not conn.ending]
-            for conn in left[-many:]:
-                self._close(side, conn)
-
-    def _close(self, side: Side, conn: Conn) -> None:
-        if not conn.ending:
-            conn.ending = True
-            side.keeper.closing(conn.server)
-            # A server lets go late at times; how late is within what a lease leaves for it.
-            late = self.draw.uniform(0.0, 200.0) if self.draw.random() < 0.2 else 0.0
-            self._calendar.at(self._calendar.now + self.draw.uniform(*HOP_MS) + late, self._let_go, conn)
-
-    def _reach(self, conn: Conn) -> None:
-        """The server takes it."""
-        if conn.ending and not conn.open_here:
+            demand = 0 if drained else process.demand[server]
+            connections = [
+                connection for connection in process.connections.get(server, ()) if connection.open_at_gateway
+            ]
+            lease_holder.set_need(server, demand)
+            if lease_holder.lease_valid(now, server):
+                for connection in connections[: max(demand, 1)]:
+                    connection.last_used_ms = true_ms
+            if lease_holder.draining or drained:
+                for connection in connections[demand:]:
+                    self._close_connection(process, connection)
+            while len(connections) < demand and lease_holder.may_open(now, server):
+                lease_holder.opened(now, server)
+                connection = Connection(server, name, process.process_number, last_used_ms=true_ms)
+                connections.append(connection)
+                process.connections.setdefault(server, []).append(connection)
+                self._call_after_latency(self._open_at_server, connection)
+        for server, excess in lease_holder.excess(now):
+            open_connections = [
+                connection
+                for connection in process.connections.get(server, ())
+                if connection.open_at_gateway and not connection.is_closing
+            ]
+            for connection in open_connections[-excess:]:
+                self._close_connection(process, connection)
+
+    def _close_connection(self, process: GatewayProcess, connection: Connection) -> None:
+        if not connection.is_closing:
+            connection.is_closing = True
+            process.lease_holder.closing(connection.server)
+            # A server sometimes closes late, but within the time that a lease reserves for it.
+            delay_ms = self.rng.uniform(0.0, 200.0) if self.rng.random() < 0.2 else 0.0
+            self._event_queue.schedule(
+                self._event_queue.now + self.rng.uniform(*LATENCY_MS) + delay_ms,
+                self._close_at_server,
+                connection,
+            )
+
+    def _open_at_server(self, connection: Connection) -> None:
+        """Open the connection at the server."""
+        if connection.is_closing and not connection.open_at_gateway:
             return
-        conn.open_there = True
-        there = self.servers[conn.server]
-        there.append(conn)
-        over = len(there) - self.world.plan.connections
+        connection.open_at_server = True
+        server_connections = self.servers[connection.server]
+        server_connections.append(connection)
+        over = len(server_connections) - self.cluster.plan.connections
         if over > self.connections_over:
             self.connections_over = over
-            self.world.found(
+            self.cluster.record_finding(
                 "connections-over",
-                f"{conn.server}: {len(there)} open of {self.world.plan.connections}, "
-                f"by {[one.owner for one in there]}",
+                f"{connection.server}: {len(server_connections)} open of {self.cluster.plan.connections}, "
+                f"by {[opened.owner for opened in server_connections]}",
             )
-        self._calendar.at(self._calendar.now + self.world.idle_ms, self._idle, conn)
-        if not conn.open_here and not conn.gone:  # its process has ended since
-            self._later(self._let_go, conn)
+        self._event_queue.schedule(self._event_queue.now + self.cluster.idle_ms, self._check_idle, connection)
+        if not connection.open_at_gateway and not connection.machine_lost:  # its process has ended meanwhile
+            self._call_after_latency(self._close_at_server, connection)
 
-    def _idle(self, conn: Conn) -> None:
-        if not conn.open_there:
+    def _check_idle(self, connection: Connection) -> None:
+        if not connection.open_at_server:
             return
-        left = conn.used + self.world.idle_ms - self._calendar.now
-        if left > 0:
-            self._calendar.at(self._calendar.now + left, self._idle, conn)
+        remaining_ms = connection.last_used_ms + self.cluster.idle_ms - self._event_queue.now
+        if remaining_ms > 0:
+            self._event_queue.schedule(self._event_queue.now + remaining_ms, self._check_idle, connection)
         else:
-            self._let_go(conn)
-
-    def _let_go(self, conn: Conn) -> None:
-        """The server has closed it, or read its end."""
-        if conn.open_there:
-            conn.open_there = False
-            self.servers[conn.server].remove(conn)
-        elif conn.open_here:
-            self._later(self._let_go, conn)  # its beginning is still on the way
+            self._close_at_server(connection)
+
+    def _close_at_server(self, connection: Connection) -> None:
+        """Close the connection at the server."""
+        if connection.open_at_server:
+            connection.open_at_server = False
+            self.servers[connection.server].remove(connection)
+        elif connection.open_at_gateway:
+            self._call_after_latency(self._close_at_server, connection)  # its SYN is still in flight
             return
-        self._later(self._closed, conn)
-
-    def _closed(self, conn: Conn) -> None:
-        side = self.sides.get(conn.owner)
-        if side is None or side.life != conn.life or not conn.open_here:
+        self._call_after_latency(self._closed_at_gateway, connection)
+
+    def _closed_at_gateway(self, connection: Connection) -> None:
+        process = self.processes.get(connection.owner)
+        if (
+            process is None
+            or process.process_number != connection.process_number
+            or not connection.open_at_gateway
+        ):
             return
-        conn.open_here = False
-        side.conns[conn.server].remove(conn)
-        side.keeper.closed(conn.server, conn.ending)
+        connection.open_at_gateway = False
+        process.connections[connection.server].remove(connection)
+        process.lease_holder.closed(connection.server, connection.is_closing)
 
     # Contracts ------------------------------------------------------------------------------------------
 
-    def _deal(self, text: ContractText) -> Deal:
+    def _create_contract(self, text: ContractText) -> SimulatedContract:
         first, last = text.customers
-        count = min(self.world.plan.members, 3)
-        doors = tuple(self.draw.sample(range(self.world.plan.members), count))
-        return Deal(
+        count = min(self.cluster.plan.members, 3)
+        gateway_indexes = tuple(self.rng.sample(range(self.cluster.plan.members), count))
+        return SimulatedContract(
             text,
             ExpectedLedger(text.rate, text.burst),
             tuple(range(first, last + 1)),
             f"t{first}",
-            doors,
-            self.draw.uniform(8000.0, 20_000.0),
-            level=text.burst,
+            gateway_indexes,
+            self.rng.uniform(8000.0, 20_000.0),
+            bucket_level=text.burst,
         )
 
-    def begin(self) -> None:
-        """Propose, ask for rolls, and let the traffic come."""
-        if not self.on:
+    def start_load(self) -> None:
+        """Schedule the contract proposals, the rolling restarts, and the load."""
+        if not self.enabled:
             return
-        for deal in self.deals:
-            self._calendar.at(max(deal.text.from_ms - 12_000.0, 1500.0), self._propose, deal, 1)
-            self._calendar.at(deal.text.from_ms + EDGE_MS, self._ask, deal)
-        for roll in self.world.plan.rolls:
-            self._calendar.at(roll.from_ms, self._ask_roll, roll, 1)
-        if self.world.plan.rolls:
-            self._calendar.at(2000.0, self._query)
-
-    def _propose(self, deal: Deal, tries: int) -> None:
-        text = deal.text
+        for contract in self.contracts:
+            self._event_queue.schedule(
+                max(contract.text.from_ms - 12_000.0, 1500.0), self._propose, contract, 1
+            )
+            self._event_queue.schedule(contract.text.from_ms + EXCLUDED_EDGE_MS, self._send_request, contract)
+        for roll in self.cluster.plan.rolls:
+            self._event_queue.schedule(roll.from_ms, self._start_restart, roll, 1)
+        if self.cluster.plan.rolls:
+            self._event_queue.schedule(2000.0, self._send_query)
+
+    def _propose(self, contract: SimulatedContract, attempt: int) -> None:
+        text = contract.text
         command = ProposeContract(
             id=f"lab/{text.name}",
             contract=text.name,
             terms=ContractTerms(
-                deal.tenant,
-                deal.customers,
+                contract.tenant,
+                contract.customers,
                 text.rate,
                 text.burst,
-                (Window(UNIX_MS + text.from_ms, UNIX_MS + text.to_ms),),
+                (Window(START_UNIX_MS + text.from_ms, START_UNIX_MS + text.to_ms),),
                 rank=min(text.importance, 9),
             ),
         )
 
-        def told(result: Any) -> None:
+        def on_result(result: Any) -> None:
             if isinstance(result, ApplyResult) and result.error is None:
-                deal.admitted = True
-            elif tries < 10:
-                self._calendar.at(self._calendar.now + 300.0, self._propose, deal, tries + 1)
+                contract.admitted = True
+            elif attempt < 10:
+                self._event_queue.schedule(
+                    self._event_queue.now + 300.0, self._propose, contract, attempt + 1
+                )
 
-        self._call(command, told)
+        self._call(command, on_result)
 
-    def _call(self, command: Any, told: Callable[[Any], None]) -> None:
-        up = [name for name, machine in self.world.machines.items() if machine.node is not None]
+    def _call(self, command: Any, on_result: Callable[[Any], None]) -> None:
+        up = [name for name, machine in self.cluster.machines.items() if machine.node is not None]
         if up:
-            self.world.call(self.draw.choice(up), command, told)
+            self.cluster.call(self.rng.choice(up), command, on_result)
         else:
-            told(None)
+            on_result(None)
 
-    def _ask(self, deal: Deal) -> None:
-        text, draw, true = deal.text, self.draw, self._calendar.now
-        if true > min(text.to_ms, self.world.plan.length_ms) - EDGE_MS or self.world.over:
+    def _send_request(self, contract: SimulatedContract) -> None:
+        text, rng, true_ms = contract.text, self.rng, self._event_queue.now
+        if true_ms > min(text.to_ms, self.cluster.plan.length_ms) - EXCLUDED_EDGE_MS or self.cluster.stopped:
             return
-        self._calendar.at(true + 1000.0 * draw.expovariate(1.3 * text.rate / 2.0), self._ask, deal)
-        if deal.phase(true)[1] >= BUSY_MS:
+        self._event_queue.schedule(
+            true_ms + 1000.0 * rng.expovariate(1.3 * text.rate / 2.0), self._send_request, contract
+        )
+        if contract.request_period(true_ms)[1] >= REQUESTS_MS:
             return
-        units = float(draw.randint(1, 3))
-        shift = int((true + 977.0 * text.customers[0]) // deal.shift_ms)
-        door = deal.doors[shift % len(deal.doors)] if draw.random() < 0.73 else draw.choice(deal.doors)
-        name = self._door(door)
-        token = deal, units, deal.book.record_request(true, units, name is not None and self._cut(name))
+        units = float(rng.randint(1, 3))
+        shift = int((true_ms + 977.0 * text.customers[0]) // contract.shift_ms)
+        gateway_index = (
+            contract.gateway_indexes[shift % len(contract.gateway_indexes)]
+            if rng.random() < 0.73
+            else rng.choice(contract.gateway_indexes)
+        )
+        name = self._reachable_gateway(gateway_index)
+        token = (
+            contract,
+            units,
+            contract.ledger.record_request(true_ms, units, name is not None and self._is_partitioned(name)),
+        )
         if name is None:
             return
-        machine, side = self.world.machines[name], self.sides[name]
-        now = machine.clock.now(true)
-        customer = draw.choice(deal.customers)
-        reserved = side.floor.draw(now, customer, units)
+        machine, process = self.cluster.machines[name], self.processes[name]
+        now = machine.clock.now(true_ms)
+        customer = rng.choice(contract.customers)
+        reserved = process.reservation_client.draw(now, customer, units)
         if reserved is not None:
-            self._served(token)
+            self._record_served(token)
         else:
-            side.floor.wait(now, customer, units, token)
+            process.reservation_client.wait(now, customer, units, token)
 
-    def _door(self, door: int) -> str | None:
-        """The gateway that a client reaches: the one it means, or another that runs and takes clients."""
-        names = list(self.world.machines)
+    def _reachable_gateway(self, gateway_index: int) -> str | None:
+        """The gateway that a client reaches: the given one, or the next that runs and accepts clients."""
+        names = list(self.cluster.machines)
         for step in range(len(names)):
-            name = names[(door + step) % len(names)]
-            side = self.sides.get(name)
+            name = names[(gateway_index + step) % len(names)]
+            process = self.processes.get(name)
             if (
-                side is not None
-                and self.world.machines[name].up
-                and (side.paused_at > self._calendar.now - FRONT_MS and not side.leaving)
+                process is not None
+                and self.cluster.machines[name].up
+                and (process.paused_at_ms > self._event_queue.now - FAILOVER_MS and not process.leaving)
             ):
                 return name
         return None
 
-    def _cut(self, name: str) -> bool:
-        """Whether a gateway hears, or is heard by, no more than half of the fleet."""
-        names, cuts = list(self.world.machines), self.world.network.cuts
+    def _is_partitioned(self, name: str) -> bool:
+        """Whether a gateway is partitioned from the majority of the cluster, in at least one direction."""
+        names, cuts = list(self.cluster.machines), self.cluster.network.cuts
         return 2 * sum((name, other) not in cuts and (other, name) not in cuts for other in names) <= len(
             names
         )
 
-    def _served(self, token: tuple[Deal, float, tuple[int, bool]]) -> None:
-        deal, units, asked = token
-        deal.book.record_served(self._calendar.now, units, asked)
-        # What all together draw, from the whole rate and burst: the leases' very promise.
-        true, text = self._calendar.now, deal.text
-        deal.level = min(deal.level + text.rate * (true - deal.level_at) / 1000.0, text.burst) - units
-        deal.level_at = true
-        deal.overdrawn = max(deal.overdrawn, -deal.level)
-
-    def _turns(self, machine: Machine, side: Side, now: float) -> bool:
-        for token, reserved in side.floor.finished_waits(now):
+    def _record_served(self, token: tuple[SimulatedContract, float, tuple[int, bool]]) -> None:
+        contract, units, recorded = token
+        contract.ledger.record_served(self._event_queue.now, units, recorded)
+        # All gateways together must not draw more than a single bucket of the contract's rate and burst.
+        true_ms, text = self._event_queue.now, contract.text
+        contract.bucket_level = (
+            min(contract.bucket_level + text.rate * (true_ms - contract.bucket_at_ms) / 1000.0, text.burst)
+            - units
+        )
+        contract.bucket_at_ms = true_ms
+        contract.max_overdrawn = max(contract.max_overdrawn, -contract.bucket_level)
+
+    def _finish_waits(self, machine: Machine, process: GatewayProcess, now: float) -> bool:
+        for token, reserved in process.reservation_client.finished_waits(now):
             if reserved is not None:
-                self._served(token)
-        return any(stake.waiting for stake in side.floor.leases.values())
+                self._record_served(token)
+        return any(lease.waiting for lease in process.reservation_client.leases.values())
 
-    def _measure(self) -> None:
-        """Parts that holders believe in now, each by its own clock."""
-        true = self._calendar.now
-        for deal in self.deals:
+    def _measure_shares(self) -> None:
+        """Measure the shares that gateways consider valid now, each by its own clock."""
+        true_ms = self._event_queue.now
+        for contract in self.contracts:
             held = lent = 0.0
-            name = deal.text.name
-            for owner, side in self.sides.items():
-                stake = side.floor.leases.get(name)
-                if stake is None or not stake.share:
+            name = contract.text.name
+            for owner, process in self.processes.items():
+                lease = process.reservation_client.leases.get(name)
+                if lease is None or not lease.share:
                     continue
-                machine = self.world.machines[owner]
-                now = machine.clock.now(true)
-                if now >= stake.expires_ms:
+                machine = self.cluster.machines[owner]
+                now = machine.clock.now(true_ms)
+                if now >= lease.expires_ms:
                     continue
                 wall = machine.clock.wall(now)
-                held += stake.share * (stake.later_fraction if wall >= stake.share_change_ms else 1.0)
-                if machine.up and stake.demand.has_stopped(now):
-                    lent += stake.share
-            over = held - deal.text.rate
-            if over > deal.over + 1e-6:
-                deal.over = over
-            first, last = deal.text.from_ms + EDGE_MS, deal.text.to_ms - EDGE_MS
-            if deal.phase(true)[1] > BUSY_MS + 1000.0 and first < true < last and not self._near(true):
-                deal.lent += min(lent, deal.text.rate)
-                deal.offered += deal.text.rate
-
-    def _near(self, true: float) -> bool:
-        return any(loss <= true <= loss + EXCLUDED_AFTER_LOSS_MS for loss in self.losses)
+                held += lease.share * (lease.later_fraction if wall >= lease.share_change_ms else 1.0)
+                if machine.up and lease.demand.has_stopped(now):
+                    lent += lease.share
+            excess = held - contract.text.rate
+            if excess > contract.max_excess + 1e-6:
+                contract.max_excess = excess
+            first, last = contract.text.from_ms + EXCLUDED_EDGE_MS, contract.text.to_ms - EXCLUDED_EDGE_MS
+            if (
+                contract.request_period(true_ms)[1] > REQUESTS_MS + 1000.0
+                and first < true_ms < last
+                and not self._is_after_loss(true_ms)
+            ):
+                contract.lent += min(lent, contract.text.rate)
+                contract.offered += contract.text.rate
+
+    def _is_after_loss(self, true_ms: float) -> bool:
+        return any(loss <= true_ms <= loss + EXCLUDED_AFTER_LOSS_MS for loss in self.loss_times_ms)
 
     def finish(self) -> None:
-        """Ask what is told of units short."""
+        """Read the reported units short."""
 
-        def told(result: Any) -> None:
+        def on_result(result: Any) -> None:
             if isinstance(result, ApplyResult) and result.error is None:
                 for facts in result.value["contracts"].values():
-                    self.told_short[facts["contract"]] = sum(facts["short"].values())
+                    self.reported_short[facts["contract"]] = sum(facts["short"].values())
 
-        if self.deals:
-            self.world.settle(REPORTED_MS)
-            self._call(ReadContracts(id="lab/read"), told)
+        if self.contracts:
+            self.cluster.settle(SHORTFALL_REPORT_MS)
+            self._call(ReadContracts(id="lab/read"), on_result)
 
     def contract_floor(self) -> float | None:
-        """See badgeryoke.testbed.checkers.contract_ledger."""
+        """The smallest served fraction of a second under any admitted contract; see
+        badgeryoke.testbed.checkers.contract_ledger."""
         return worst_second(
             [
-                deal.book.served_fraction_by_second(0.0, math.inf, self.losses)
-                for deal in self.deals
-                if deal.admitted
+                contract.ledger.served_fraction_by_second(0.0, math.inf, self.loss_times_ms)
+                for contract in self.contracts
+                if contract.admitted
             ]
         )
 
     def contract_over(self) -> float | None:
-        """The most by which leases passed a contract."""
-        return max((deal.over for deal in self.deals), default=None)
+        """The most by which the valid leases exceeded a contract's rate."""
+        return max((contract.max_excess for contract in self.contracts), default=None)
 
     def shortfall_error(self) -> float | None:
-        """Told against true units short."""
+        """The largest relative error of the reported units short."""
         return max(
             (
-                deal.book.report_error(self.told_short.get(deal.text.name, 0.0))
-                for deal in self.deals
-                if deal.admitted
+                contract.ledger.report_error(self.reported_short.get(contract.text.name, 0.0))
+                for contract in self.contracts
+                if contract.admitted
             ),
             default=None,
         )
 
     def lent_share(self) -> float | None:
-        """Of what was reserved and idle, what gateways offered to others."""
-        offered = sum(deal.offered for deal in self.deals)
-        return sum(deal.lent for deal in self.deals) / offered if offered else None
+        """The fraction of idle reserved capacity that gateways lent to other customers."""
+        offered = sum(contract.offered for contract in self.contracts)
+        return sum(contract.lent for contract in self.contracts) / offered if offered else None
 
-    # Rolls ----------------------------------------------------------------------------------------------
+    # Rolling restarts -----------------------------------------------------------------------------------
 
-    def _query(self) -> None:
-        """An ordinary query, for what a roll may lose."""
-        if self.world.over or not self.world.loading:
+    def _send_query(self) -> None:
+        """Send a query without a contract, which a rolling restart must not lose."""
+        if self.cluster.stopped or not self.cluster.loading:
             return
-        self._calendar.at(self._calendar.now + 1000.0 * self.draw.expovariate(40.0), self._query)
-        name = self._door(self.draw.randrange(self.world.plan.members))
+        self._event_queue.schedule(
+            self._event_queue.now + 1000.0 * self.rng.expovariate(40.0), self._send_query
+        )
+        name = self._reachable_gateway(self.rng.randrange(self.cluster.plan.members))
         if name is not None:
-            self._flights += 1
-            side = self.sides[name]
-            side.flights.add(self._flights)
-            self._calendar.at(
-                self._calendar.now + self.draw.uniform(*WORK_MS), side.flights.discard, self._flights
+            self._queries_sent += 1
+            process = self.processes[name]
+            process.queries_in_flight.add(self._queries_sent)
+            self._event_queue.schedule(
+                self._event_queue.now + self.rng.uniform(*QUERY_MS),
+                process.queries_in_flight.discard,
+                self._queries_sent,
             )
 
-    def _ask_roll(self, text: RollText, tries: int) -> None:
+    def _start_restart(self, text: RollText, attempt: int) -> None:
         command = StartRollingRestart(
             id=f"lab/{text.name}",
             restart=text.name,
@@ -496,55 +554,69 @@
             gateways=tuple(f"g{number}" for number in text.gateways),
             reason="laboratory",
             deadline_ms=10_000.0,
-            warm_up_ms=WARM_MS,
+            warm_up_ms=WARM_UP_MS,
         )
         self.roll_states.setdefault(text.name, "not asked")
 
-        def told(result: Any) -> None:
+        def on_result(result: Any) -> None:
             if isinstance(result, ApplyResult) and result.error is None:
                 self.roll_states[text.name] = "asked"
-                self._asked_at[text.name] = self._calendar.now
-                self._calendar.at(self._calendar.now + 300.0, self._read_roll, text)
-            elif tries < 10:
-                self._calendar.at(self._calendar.now + 300.0, self._ask_roll, text, tries + 1)
+                self._requested_at_ms[text.name] = self._event_queue.now
+                self._event_queue.schedule(self._event_queue.now + 300.0, self._poll_restart, text)
+            elif attempt < 10:
+                self._event_queue.schedule(
+                    self._event_queue.now + 300.0, self._start_restart, text, attempt + 1
+                )
             else:
                 self.roll_states[text.name] = "failed"
 
-        self._call(command, told)
+        self._call(command, on_result)
 
-    def _read_roll(self, text: RollText) -> None:
-        def told(result: Any) -> None:
+    def _poll_restart(self, text: RollText) -> None:
+        def on_result(result: Any) -> None:
             if isinstance(result, ApplyResult) and result.error is None:
                 self.roll_states.update(
-                    {one["roll"]: one["state"] for one in result.value if one["roll"] == text.name}
+                    {
+                        restart["roll"]: restart["state"]
+                        for restart in result.value
+                        if restart["roll"] == text.name
+                    }
                 )
-            if self.roll_states[text.name] not in ("done", "failed", "cancelled") and not self.world.over:
-                self._calendar.at(self._calendar.now + READ_MS, self._read_roll, text)
+            if (
+                self.roll_states[text.name] not in ("done", "failed", "cancelled")
+                and not self.cluster.stopped
+            ):
+                self._event_queue.schedule(self._event_queue.now + RESTART_POLL_MS, self._poll_restart, text)
             elif self.roll_states[text.name] == "done":
-                self._rolled(text)
+                self._record_restart_ratio(text)
 
-        self._call(ReadRollingRestarts(id="lab/roll"), told)
+        self._call(ReadRollingRestarts(id="lab/roll"), on_result)
 
-    def _rolled(self, text: RollText) -> None:
-        """How long it took, against the least that the limits allow with waves as long as those of this
-        roll."""
-        if not self._waves:
+    def _record_restart_ratio(self, text: RollText) -> None:
+        """Compare a rolling restart's duration with the minimum that the limits allow if each gateway takes the mean
+        time of this restart."""
+        if not self._restart_durations_ms:
             return
-        world, names = self.world, [f"g{number}" for number in text.gateways]
+        cluster, names = self.cluster, [f"g{number}" for number in text.gateways]
         groups = {
             group: tuple(map(member_name, config.voters))
-            for group in world.groups()
-            if (config := world.config(group)) is not None
+            for group in cluster.groups()
+            if (config := cluster.config(group)) is not None
         }
-        halls = {name: machine.hall for name, machine in world.machines.items()}
-        least = minimum_duration_ms(
-            names, groups, halls, text.at_once, 0.0, sum(self._waves) / len(self._waves)
+        zones = {name: machine.zone for name, machine in cluster.machines.items()}
+        minimum_ms = minimum_duration_ms(
+            names,
+            groups,
+            zones,
+            text.at_once,
+            0.0,
+            sum(self._restart_durations_ms) / len(self._restart_durations_ms),
         )
-        self.roll_ratio = (self._calendar.now - self._asked_at[text.name]) / least
+        self.roll_ratio = (self._event_queue.now - self._requested_at_ms[text.name]) / minimum_ms
 
-    def _schedulers(self) -> None:
-        """Kill who schedules a roll, when first a gateway stands where the plan says."""
-        for name, machine in self.world.machines.items():
+    def _kill_scheduler(self) -> None:
+        """Kill the leader that schedules a rolling restart when a gateway first reaches a state that the plan names."""
+        for name, machine in self.cluster.machines.items():
             node = machine.node
             if (
                 node is None
@@ -556,92 +628,117 @@
             roll = node.state_machines[FLEET].parts["rolls"].active
             if roll is None:
                 continue
-            stands = [one.phase.value for one in roll.gateways.values()]
-            stand = next((one for one in self._kills.get(roll.name, ()) if one in stands), "")
-            if stand:
-                self._kills[roll.name].remove(stand)
-                self.loss()
-                self._killed_at = self._calendar.now
-                self.world.kill(name)
-                self._calendar.at(self._calendar.now + DOWN_MS, self.world.start, name)
+            states = [gateway.phase.value for gateway in roll.gateways.values()]
+            state = next(
+                (planned for planned in self._pending_kills.get(roll.name, ()) if planned in states), ""
+            )
+            if state:
+                self._pending_kills[roll.name].remove(state)
+                self.record_loss()
+                self._leader_killed_at_ms = self._event_queue.now
+                self.cluster.kill(name)
+                self._event_queue.schedule(
+                    self._event_queue.now + KILLED_LEADER_DOWN_MS, self.cluster.start, name
+                )
                 return
 
-    def look(self) -> None:
-        """Watch what a wave has to wait for."""
-        if self.world.plan.rolls:
-            self._schedulers()
-            # Whoever a roll has ended is away by right: its copies are not what is missing.
-            self._missing = {
-                at: self._missing.get(at, self._calendar.now)
-                for at in self.world.missing()
-                if member_name(at[1]) not in self.away
+    def check(self) -> None:
+        """Kill the scheduling leader as planned, and track incomplete replicas, for which a wave has to wait."""
+        if self.cluster.plan.rolls:
+            self._kill_scheduler()
+            # Replicas of gateways that the rolling restart itself has stopped do not count.
+            self._incomplete_since = {
+                replica_key: self._incomplete_since.get(replica_key, self._event_queue.now)
+                for replica_key in self.cluster.incomplete_replicas()
+                if member_name(replica_key[1]) not in self.restarting
             }
 
-    def half_drained(self) -> list[str]:
-        """Gateways that turn clients away."""
-        return [name for name, side in self.sides.items() if side.paused_at < math.inf]
+    def half_drained_gateways(self) -> list[str]:
+        """The gateways that reject clients."""
+        return [name for name, process in self.processes.items() if process.paused_at_ms < math.inf]
 
-    def rolled(self) -> bool:
-        """Whether all rolls have come to an end."""
+    def restarts_ended(self) -> bool:
+        """Whether all rolling restarts have ended."""
         return all(state in ("done", "failed", "cancelled") for state in self.roll_states.values())
 
-    def _roll(self, machine: Machine, side: Side, now: float) -> None:
-        true, rolled, keeper, node = self._calendar.now, side.rolled, side.keeper, machine.node
+    def _run_restart_agent(self, machine: Machine, process: GatewayProcess, now: float) -> None:
+        true_ms, restart_agent, lease_holder, node = (
+            self._event_queue.now,
+            process.restart_agent,
+            process.lease_holder,
+            machine.node,
+        )
         assert node is not None
-        keeper.need_multiple, keeper.draining = rolled.need_multiple, rolled.must_not_lead
-        node.avoid_leadership = rolled.must_not_lead
+        lease_holder.need_multiple, lease_holder.draining = (
+            restart_agent.need_multiple,
+            restart_agent.must_not_lead,
+        )
+        node.avoid_leadership = restart_agent.must_not_lead
         groups = node.replicas.items()
-        drained = rolled.paused and side.paused_at < true - FRONT_MS
-        whole = all(
-            one.is_up_to_date
-            for group, one in groups
-            if (config := self.world.config(group)) is not None and machine.id in config.voters
+        drained = restart_agent.paused and process.paused_at_ms < true_ms - FAILOVER_MS
+        replicas_complete = all(
+            replica.is_up_to_date
+            for group, replica in groups
+            if (config := self.cluster.config(group)) is not None and machine.id in config.voters
         )
-        if whole and not side.leaving and machine.name in self._left_at:
-            self._waves.append(
-                self._emptied.pop(machine.name) + true - self._left_at.pop(machine.name) + WARM_MS
+        if replicas_complete and not process.leaving and machine.name in self._stopped_at_ms:
+            self._restart_durations_ms.append(
+                self._drain_ms.pop(machine.name)
+                + true_ms
+                - self._stopped_at_ms.pop(machine.name)
+                + WARM_UP_MS
             )
-        empty = not side.flights and keeper.empty
-        if drained and empty and not side.leaving:
-            self._emptied.setdefault(machine.name, true - side.paused_at)
-        rolled.observe(
-            groups_led=sum(one.leading for _, one in groups),
-            trimmed=all(pool.open - pool.closing <= pool.need for pool in keeper.servers.values()),
+        empty = not process.queries_in_flight and lease_holder.empty
+        if drained and empty and not process.leaving:
+            self._drain_ms.setdefault(machine.name, true_ms - process.paused_at_ms)
+        restart_agent.observe(
+            groups_led=sum(replica.leading for _, replica in groups),
+            trimmed=all(pool.open - pool.closing <= pool.need for pool in lease_holder.servers.values()),
             drained=drained,
             empty=empty,
-            copies_complete=whole,
+            copies_complete=replicas_complete,
         )
-        for duty in rolled.next_actions(now):
-            if duty is DesiredState.PAUSE:
-                side.paused_at = true
-            elif duty is DesiredState.RESUME:
-                side.paused_at = math.inf
-            elif not side.leaving:
-                side.leaving = True
-                roll = str(rolled.restart)
-                at = roll, machine.name
-                self.drained[at] = self.drained.get(at, 0) + 1
-                if self.drained[at] > 1:
-                    self.world.found("drained-twice", f"{machine.name} by {roll}")
-                self.away.add(machine.name)
-                self._left_at[machine.name] = true
-                if len(self.away) > max(text.at_once for text in self.world.plan.rolls):
-                    self.world.found("two-waves", f"{sorted(self.away)} by {roll}")
-                here = self.world.missing()
-                # A step on its way when its scheduler was killed takes effect under the next, by what was so
-                # then.
-                judged = self._killed_at if true - self._killed_at < DOWN_MS + STALE_MS else true
-                late = [at for at, since in self._missing.items() if judged - since > STALE_MS and at in here]
-                if late:
-                    self.world.found("wave-before-copies", f"{machine.name} ends, missing for long: {late}")
-                self._leave(machine, side.life)
-
-    def _leave(self, machine: Machine, life: int) -> None:
-        def left(result: Any) -> None:
-            if machine.life == life:
-                self.world.kill(machine.name)
-                self._calendar.at(
-                    self._calendar.now + self.draw.uniform(*ACT_MS), self.world.start, machine.name
+        for action in restart_agent.next_actions(now):
+            if action is DesiredState.PAUSE:
+                process.paused_at_ms = true_ms
+            elif action is DesiredState.RESUME:
+                process.paused_at_ms = math.inf
+            elif not process.leaving:
+                process.leaving = True
+                roll = str(restart_agent.restart)
+                key = roll, machine.name
+                self.restart_counts[key] = self.restart_counts.get(key, 0) + 1
+                if self.restart_counts[key] > 1:
+                    self.cluster.record_finding("drained-twice", f"{machine.name} by {roll}")
+                self.restarting.add(machine.name)
+                self._stopped_at_ms[machine.name] = true_ms
+                if len(self.restarting) > max(text.at_once for text in self.cluster.plan.rolls):
+                    self.cluster.record_finding("two-waves", f"{sorted(self.restarting)} by {roll}")
+                incomplete = self.cluster.incomplete_replicas()
+                # A step in flight when the scheduling leader was killed takes effect under the next leader; it is
+                # judged by the state at the time of the kill.
+                judged_at_ms = (
+                    self._leader_killed_at_ms
+                    if true_ms - self._leader_killed_at_ms < KILLED_LEADER_DOWN_MS + MAX_VIEW_AGE_MS
+                    else true_ms
+                )
+                overdue = [
+                    replica_key
+                    for replica_key, since in self._incomplete_since.items()
+                    if judged_at_ms - since > MAX_VIEW_AGE_MS and replica_key in incomplete
+                ]
+                if overdue:
+                    self.cluster.record_finding(
+                        "wave-before-copies", f"{machine.name} ends, missing for long: {overdue}"
+                    )
+                self._stop_gateway(machine, process.process_number)
+
+    def _stop_gateway(self, machine: Machine, process_number: int) -> None:
+        def on_left(result: Any) -> None:
+            if machine.process_number == process_number:
+                self.cluster.kill(machine.name)
+                self._event_queue.schedule(
+                    self._event_queue.now + self.rng.uniform(*RESTART_MS), self.cluster.start, machine.name
                 )
 
-        self.world.leave(machine.name, left)
+        self.cluster.leave(machine.name, on_left)
--- a/badgeryoke/testbed/cluster_simulation/generated_plans.py
+++ b/badgeryoke/testbed/cluster_simulation/generated_plans.py
@@ -1,4 +1,4 @@
-"""Plays drawn plans and scenarios, and makes a failing plan as small as it still fails."""
+"""Plays generated plans and scenarios, and shrinks failing plans."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 from typing import Any
 
 from badgeryoke.testbed.checkers.history_checker import Finding
-from badgeryoke.testbed.cluster_simulation.fault_plan import Plan, draw
-from badgeryoke.testbed.cluster_simulation.world import FleetWorld
+from badgeryoke.testbed.cluster_simulation.fault_plan import Plan, generate_plan
+from badgeryoke.testbed.cluster_simulation.world import SimulatedCluster
 from badgeryoke.testbed.report.cluster_figures import FleetFigures
 from badgeryoke.testbed.scenario.model import Scenario
 
-MakeWorld = Callable[[Plan], FleetWorld]
-UNAVAILABLE_MS, RESTORED_MS = 2000.0, 10_000.0
+WorldFactory = Callable[[Plan], SimulatedCluster]
+MAX_UNAVAILABLE_MS, MAX_RESTORED_MS = 2000.0, 10_000.0
 
 
 @dataclass(frozen=True, slots=True)
-class Played:
-    """What a plan came to."""
+class PlayResult:
+    """The result of a plan."""
 
     plan: Plan
     figures: FleetFigures
@@ -26,60 +26,66 @@
 
     @property
     def names(self) -> list[str]:
-        """Of all that was found wrong, each once."""
+        """The names of all findings and bad figures, each once."""
         return list(dict.fromkeys([finding.name for finding in self.findings] + self.figures.bad()))
 
     def plain(self) -> dict[str, Any]:
-        """As plain values."""
+        """The result as JSON values."""
         return {
             "seed": self.plan.seed,
             "figures": self.figures.plain(),
-            "findings": [[one.name, one.at_ms, one.facts] for one in self.findings],
+            "findings": [[finding.name, finding.at_ms, finding.facts] for finding in self.findings],
         }
 
 
-def play(plan: Plan, make: MakeWorld = FleetWorld) -> Played:
-    """One run."""
-    world = make(plan)
-    figures = world.run()
-    return Played(plan, figures, tuple(world.findings))
+def play(plan: Plan, world_factory: WorldFactory = SimulatedCluster) -> PlayResult:
+    """Play a plan."""
+    cluster = world_factory(plan)
+    figures = cluster.run()
+    return PlayResult(plan, figures, tuple(cluster.findings))
 
 
-def play_seed(seed: int, members: int = 0, kind: str = "", make: MakeWorld = FleetWorld) -> Played:
-    """The run that a seed gives."""
-    return play(draw(seed, members, kind), make)
+def play_seed(
+    seed: int, members: int = 0, kind: str = "", world_factory: WorldFactory = SimulatedCluster
+) -> PlayResult:
+    """Play the generated plan of a seed."""
+    return play(generate_plan(seed, members, kind), world_factory)
 
 
-def shrink(plan: Plan, make: MakeWorld = FleetWorld, most: int = 200) -> Played:
-    """The smallest plan found that still fails by one of the names that `plan` fails by: faults dropped
-    greedily, first in halves and then one by one, the length cut behind the finding; at most so many
-    plays."""
-    best = play(plan, make)
-    wanted = set(best.names)
-    if not wanted:
+def shrink(plan: Plan, world_factory: WorldFactory = SimulatedCluster, max_plays: int = 200) -> PlayResult:
+    """Return the smallest plan found that still fails with one of the names that `plan` fails with.
+
+    The length is cut shortly after the finding; faults are removed greedily, first in halves and finally one by one.
+    At most `max_plays` plans are played.
+    """
+    best = play(plan, world_factory)
+    wanted_names = set(best.names)
+    if not wanted_names:
         return best
-    left = most
+    plays_left = max_plays
 
-    def fails(tried: Plan) -> bool:
-        nonlocal best, left
-        if left <= 0:
+    def fails(candidate: Plan) -> bool:
+        nonlocal best, plays_left
+        if plays_left <= 0:
             return False
-        left -= 1
-        got = play(tried, make)
-        if wanted.isdisjoint(got.names):
+        plays_left -= 1
+        result = play(candidate, world_factory)
+        if wanted_names.isdisjoint(result.names):
             return False
-        best = got
+        best = result
         return True
 
     if best.findings:
         fails(replace(best.plan, length_ms=min(best.plan.length_ms, best.findings[0].at_ms + 200.0)))
     fails(
-        replace(best.plan, faults=tuple(one for one in best.plan.faults if one.at_ms <= best.plan.length_ms))
+        replace(
+            best.plan, faults=tuple(fault for fault in best.plan.faults if fault.at_ms <= best.plan.length_ms)
+        )
     )
     size = max(len(best.plan.faults) // 2, 1)
     while size:
-        for tried in _without(best.plan, size):
-            if fails(tried):
+        for candidate in _without(best.plan, size):
+            if fails(candidate):
                 break
         else:
             size //= 2
@@ -98,12 +104,12 @@
 
 
 def _without(plan: Plan, size: int) -> Iterator[Plan]:
-    for at in range(0, len(plan.faults), size):
-        yield replace(plan, faults=plan.faults[:at] + plan.faults[at + size :])
+    for start in range(0, len(plan.faults), size):
+        yield replace(plan, faults=plan.faults[:start] + plan.faults[start + size :])
 
 
-def plan_of(scenario: Scenario, seed: int) -> Plan:
-    """A scenario's fleet as a plan."""
+def plan_for_scenario(scenario: Scenario, seed: int) -> Plan:
+    """The plan of a scenario's cluster."""
     return Plan(
         seed,
         scenario.gateways,
@@ -115,10 +121,12 @@
         rolls=scenario.rolls,
         connections=scenario.connections,
         servers=scenario.servers if scenario.connections else 0,
-        faults=tuple(one for one in scenario.faults if one.target in ("gateway", "gateways")),
+        faults=tuple(fault for fault in scenario.faults if fault.target in ("gateway", "gateways")),
     )
 
 
-def play_scenario(scenario: Scenario, seed: int, make: MakeWorld = FleetWorld) -> FleetFigures:
-    """For `lab sim`: the fleet's figures of a scenario."""
-    return play(plan_of(scenario, seed), make).figures
+def play_scenario(
+    scenario: Scenario, seed: int, world_factory: WorldFactory = SimulatedCluster
+) -> FleetFigures:
+    """Play a scenario's cluster for `lab sim`, and return its figures."""
+    return play(plan_for_scenario(scenario, seed), world_factory).figures
--- a/badgeryoke/testbed/cluster_simulation/network.py
+++ b/badgeryoke/testbed/cluster_simulation/network.py
@@ -1,10 +1,10 @@
-"""The calendar of a simulated fleet, and the links between its members.
+"""The event queue of a simulated cluster, and the network between its members.
 
-Events lie on a heap in order of time and of their making; all chance comes from one seeded Random.  A link
-carries envelopes in order, as a TCP stream does, until it is reset: then what was under way is lost, or comes
-after what the next connection brings.  A cut loses what is sent meanwhile, but for a few envelopes
-(`MOST_KEPT` a link, the oldest go) that a kernel may still hold and bring long after.  Times in ms, sizes in
-bytes.
+Events are processed in order of their time, and at equal times in the order in which they were scheduled; all random
+draws come from one seeded Random.  A link delivers envelopes in order, as a TCP stream does, until it is reset: then
+envelopes in flight are lost or arrive after those of the next connection.  A cut drops envelopes, except for a few
+(the latest `MAX_BUFFERED` of a link) that a kernel may still buffer and deliver much later.  Times are in ms, sizes
+in bytes.
 """
 
 from __future__ import annotations
@@ -22,158 +22,165 @@
     InstallSnapshotChunk,
 )
 
-Pair = tuple[str, str]  # names: from, to
-MOST_KEPT = 16
-MOST_QUEUED_MS = 1000.0  # of a narrow link's queue; what comes beyond is lost
-FRAME = 60  # bytes of an envelope, or of a message beside its content
+Link = tuple[str, str]  # names of sender and receiver
+MAX_BUFFERED = 16
+MAX_QUEUED_MS = 1000.0  # longest queue of a narrow link; further envelopes are dropped
+OVERHEAD_BYTES = 60  # overhead in bytes of an envelope, and of each message
 
 
-class Calendar:
-    """What happens when."""
+class EventQueue:
+    """The queue of scheduled calls, and simulated time in ms."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.done = 0  # events so far
+        self.events_processed = 0  # calls made so far
         self._heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._made = 0
+        self._scheduled = 0
 
-    def at(self, when: float, what: Callable[..., None], *args: Any) -> None:
-        """Call `what` then, never before now."""
-        self._made += 1
-        heapq.heappush(self._heap, (when if when > self.now else self.now, self._made, what, args))
+    def schedule(self, when: float, callback: Callable[..., None], *args: Any) -> None:
+        """Schedule a call at `when`, or now if that is in the past."""
+        self._scheduled += 1
+        heapq.heappush(self._heap, (when if when > self.now else self.now, self._scheduled, callback, args))
 
     def run(self, until: float) -> None:
-        """Let all up to that time happen."""
+        """Make all calls scheduled up to `until`, and advance the time to it."""
         heap = self._heap
         while heap and heap[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(heap)
-            self.done += 1
-            what(*args)
+            self.now, _, callback, args = heapq.heappop(heap)
+            self.events_processed += 1
+            callback(*args)
         self.now = max(self.now, until)
 
 
-def size_of(message: AnyMessage) -> int:
-    """About how many bytes it takes on the wire."""
+def wire_size(message: AnyMessage) -> int:
+    """The approximate size of a message on the wire, in bytes."""
     if isinstance(message, AppendEntries):
-        return FRAME + sum(len(entry.body) + 12 for entry in message.entries)
+        return OVERHEAD_BYTES + sum(len(entry.body) + 12 for entry in message.entries)
     if isinstance(message, InstallSnapshotChunk):
-        return FRAME + len(message.data)
+        return OVERHEAD_BYTES + len(message.data)
     if isinstance(message, ForwardedCall | ForwardedReply):
-        return FRAME + len(message.body)
-    return FRAME
+        return OVERHEAD_BYTES + len(message.body)
+    return OVERHEAD_BYTES
 
 
 class Network:
-    """Links between members by name; `deliver(sender, to, envelope)` is called when one arrives.
+    """Links between members by name; `deliver(sender, to, envelope)` is called when an envelope arrives.
 
-    What is wrong with a link stands in the tables: `cuts`, `delays` (ms more, one way), `resets` (a second),
-    `narrow` (bytes a ms); `loss` and `twice` are chances of an envelope on any link."""
+    Faults of single links: `cuts`, `delays` (additional ms, one way), `resets` (rate a second) and `narrow` (bytes
+    a ms).  `loss` and `twice` are the probabilities that an envelope on any link is lost or delivered twice.
+    """
 
     def __init__(
         self,
-        calendar: Calendar,
-        draw: Random,
+        event_queue: EventQueue,
+        rng: Random,
         deliver: Callable[[str, str, Any], None],
-        hop_ms: tuple[float, float] = (0.2, 1.0),
+        latency_ms: tuple[float, float] = (0.2, 1.0),
     ) -> None:
-        self._calendar, self._draw, self._deliver, self.hop_ms = calendar, draw, deliver, hop_ms
-        self.cuts: set[Pair] = set()
-        self.delays: dict[Pair, float] = {}
-        self.resets: dict[Pair, float] = {}
-        self.narrow: dict[Pair, float] = {}
+        self._event_queue, self._rng, self._deliver, self.latency_ms = event_queue, rng, deliver, latency_ms
+        self.cuts: set[Link] = set()
+        self.delays: dict[Link, float] = {}
+        self.resets: dict[Link, float] = {}
+        self.narrow: dict[Link, float] = {}
         self.loss = self.twice = 0.0
-        self._last: dict[Pair, float] = {}  # when the last envelope on a link arrives
-        self._free: dict[Pair, float] = {}  # when a narrow link has sent what it has
-        self._life: dict[Pair, int] = {}  # of its connection
-        self._kept: dict[Pair, list[Any]] = {}
-        self._since = 0  # of the reset clocks: counts mends, so that old ones end
-        self.messages: dict[str, int] = {}  # sent by each member
+        self._last_arrival_ms: dict[Link, float] = {}  # arrival time of the latest envelope on a link
+        self._idle_at_ms: dict[Link, float] = {}  # time at which a narrow link has sent all queued bytes
+        self._connection_numbers: dict[Link, int] = {}  # number of a link's current connection
+        self._buffered: dict[Link, list[Any]] = {}
+        self._mend_count = 0  # counts mends, so that resets scheduled before a mend stop
+        self.messages: dict[str, int] = {}  # messages sent by each member
         self.bytes: dict[str, int] = {}
 
-    def send(self, sender: str, to: str, what: Any, messages: Sequence[AnyMessage]) -> None:
-        """One envelope on its way."""
+    def send(self, sender: str, to: str, envelope: Any, messages: Sequence[AnyMessage]) -> None:
+        """Send an envelope."""
         self.messages[sender] = self.messages.get(sender, 0) + len(messages)
-        pair, draw, now = (sender, to), self._draw, self._calendar.now
-        if pair in self.cuts:
-            if draw.random() < 0.1:
-                kept = self._kept.setdefault(pair, [])
-                kept.append(what)
-                del kept[:-MOST_KEPT]
+        link, rng, now = (sender, to), self._rng, self._event_queue.now
+        if link in self.cuts:
+            if rng.random() < 0.1:
+                buffered = self._buffered.setdefault(link, [])
+                buffered.append(envelope)
+                del buffered[:-MAX_BUFFERED]
             return
-        if self.loss and draw.random() < self.loss:
+        if self.loss and rng.random() < self.loss:
             return
-        low, high = self.hop_ms
-        there = now + low + (high - low) * draw.random() + self.delays.get(pair, 0.0)
-        if pair in self.narrow:
-            size = FRAME + sum(map(size_of, messages))
-            begin = max(now, self._free.get(pair, 0.0))
-            if begin - now > MOST_QUEUED_MS:
+        low, high = self.latency_ms
+        arrival_ms = now + low + (high - low) * rng.random() + self.delays.get(link, 0.0)
+        if link in self.narrow:
+            size = OVERHEAD_BYTES + sum(map(wire_size, messages))
+            start_ms = max(now, self._idle_at_ms.get(link, 0.0))
+            if start_ms - now > MAX_QUEUED_MS:
                 return
-            self._free[pair] = begin + size / self.narrow[pair]
-            there += self._free[pair] - now
-        there = max(there, self._last.get(pair, 0.0))
-        self._last[pair] = there
-        self._calendar.at(there, self._arrive, pair, self._life.get(pair, 0), what)
-        if self.twice and draw.random() < self.twice:
-            self._calendar.at(
-                there + draw.uniform(0.0, 50.0), self._arrive, pair, self._life.get(pair, 0), what
+            self._idle_at_ms[link] = start_ms + size / self.narrow[link]
+            arrival_ms += self._idle_at_ms[link] - now
+        arrival_ms = max(arrival_ms, self._last_arrival_ms.get(link, 0.0))
+        self._last_arrival_ms[link] = arrival_ms
+        self._event_queue.schedule(
+            arrival_ms, self._arrive, link, self._connection_numbers.get(link, 0), envelope
+        )
+        if self.twice and rng.random() < self.twice:
+            self._event_queue.schedule(
+                arrival_ms + rng.uniform(0.0, 50.0),
+                self._arrive,
+                link,
+                self._connection_numbers.get(link, 0),
+                envelope,
             )
 
-    def _arrive(self, pair: Pair, life: int, what: Any) -> None:
-        if pair in self.cuts:
+    def _arrive(self, link: Link, connection_number: int, envelope: Any) -> None:
+        if link in self.cuts:
             return
-        if life != self._life.get(pair, 0):
-            if self._draw.random() < 0.5:
+        if connection_number != self._connection_numbers.get(link, 0):
+            if self._rng.random() < 0.5:
                 return
-            if self._draw.random() < 0.5:  # the old connection is read after the new one
-                self._calendar.at(
-                    self._calendar.now + self._draw.uniform(0.0, 20.0), self._deliver, *pair, what
+            if self._rng.random() < 0.5:  # the receiver reads the old connection after the new one
+                self._event_queue.schedule(
+                    self._event_queue.now + self._rng.uniform(0.0, 20.0), self._deliver, *link, envelope
                 )
                 return
-        self._deliver(*pair, what)
-
-    def cut(self, pairs: Sequence[Pair]) -> None:
-        """Lose what goes this way from now on."""
-        self.cuts.update(pairs)
-
-    def reset(self, pair: Pair) -> None:
-        """End the connection that carries this way."""
-        self._life[pair] = self._life.get(pair, 0) + 1
-        self._last.pop(pair, None)
-
-    def reset_often(self, pairs: Sequence[Pair], rate: float) -> None:
-        """End them so many times a second, each at its own moments, until the next mend."""
-        for pair in pairs:
-            self.resets[pair] = rate
-            self._calendar.at(
-                self._calendar.now + 1000.0 * self._draw.expovariate(rate),
+        self._deliver(*link, envelope)
+
+    def cut(self, links: Sequence[Link]) -> None:
+        """Drop envelopes on these links from now on."""
+        self.cuts.update(links)
+
+    def reset(self, link: Link) -> None:
+        """Reset a link's connection."""
+        self._connection_numbers[link] = self._connection_numbers.get(link, 0) + 1
+        self._last_arrival_ms.pop(link, None)
+
+    def reset_often(self, links: Sequence[Link], rate: float) -> None:
+        """Reset each link at random times, with a rate a second, until the next mend."""
+        for link in links:
+            self.resets[link] = rate
+            self._event_queue.schedule(
+                self._event_queue.now + 1000.0 * self._rng.expovariate(rate),
                 self._reset_again,
-                pair,
+                link,
                 rate,
-                self._since,
+                self._mend_count,
             )
 
-    def _reset_again(self, pair: Pair, rate: float, since: int) -> None:
-        if self._since == since and self.resets.get(pair) == rate:
-            self.reset(pair)
-            self._calendar.at(
-                self._calendar.now + 1000.0 * self._draw.expovariate(rate),
+    def _reset_again(self, link: Link, rate: float, mend_count: int) -> None:
+        if self._mend_count == mend_count and self.resets.get(link) == rate:
+            self.reset(link)
+            self._event_queue.schedule(
+                self._event_queue.now + 1000.0 * self._rng.expovariate(rate),
                 self._reset_again,
-                pair,
+                link,
                 rate,
-                since,
+                mend_count,
             )
 
     def mend(self) -> None:
-        """All links are whole again; some of what the cut ones were given comes now."""
-        for pair in sorted(self.cuts):
-            self.reset(pair)
-            for what in self._kept.pop(pair, []):
-                self._calendar.at(
-                    self._calendar.now + self._draw.uniform(0.0, 300.0), self._deliver, *pair, what
+        """Remove all faults; some of the envelopes sent on cut links arrive now."""
+        for link in sorted(self.cuts):
+            self.reset(link)
+            for envelope in self._buffered.pop(link, []):
+                self._event_queue.schedule(
+                    self._event_queue.now + self._rng.uniform(0.0, 300.0), self._deliver, *link, envelope
                 )
-        self._kept.clear()
+        self._buffered.clear()
         for table in (self.cuts, self.delays, self.resets, self.narrow):
             table.clear()
         self.loss = self.twice = 0.0
-        self._since += 1
+        self._mend_count += 1
--- a/badgeryoke/testbed/cluster_simulation/world.py
+++ b/badgeryoke/testbed/cluster_simulation/world.py
@@ -1,8 +1,8 @@
-"""A fleet in simulated time: the product's nodes on simulated links, clocks and stores, under a random load.
+"""A cluster in simulated time: real nodes on a simulated network, clocks and disks, under a random load.
 
-Nothing reads a clock and all chance comes from the seed, each part from a Random of its own: the same plan
-gives the same bytes, in whatever process.  The referee sees the calls, each message on its way and what is
-durable on each disk; it asks no node what it believes.
+The simulation is deterministic: nothing reads a clock, and all random draws come from the seed, with a Random for
+each part.  The checks rely on the calls, the messages sent and the durable state of each disk, never on a node's own
+state.
 """
 
 from __future__ import annotations
@@ -50,19 +50,20 @@
 from badgeryoke.cluster.timings import Timings
 from badgeryoke.testbed.checkers.history_checker import Finding, Operation, Verdict, check_history
 from badgeryoke.testbed.cluster_simulation.clock import Clock
-from badgeryoke.testbed.cluster_simulation.disk import Disk, Kept
+from badgeryoke.testbed.cluster_simulation.disk import Disk, StoredGroup
 from badgeryoke.testbed.cluster_simulation.fault_plan import Plan
-from badgeryoke.testbed.cluster_simulation.gateway import Gates
-from badgeryoke.testbed.cluster_simulation.network import Calendar, Network
+from badgeryoke.testbed.cluster_simulation.gateway import SimulatedGateways
+from badgeryoke.testbed.cluster_simulation.network import EventQueue, Network
 from badgeryoke.testbed.report.cluster_figures import FleetFigures
 from badgeryoke.testbed.scenario.model import Fault
 
-MOST_INBOX = 4096  # events that wait for a frozen process; further ones are lost, as a full socket's are
-CLIENT_MS = 500.0  # that a client waits beyond the call's own time
-MOST_TRIES = 8
-LOOK_MS = 50.0
-MOST_CONFIGS = 4
-SETTLE_MS = 40_000.0  # within which a mended fleet has to answer again
+# Events queued for a frozen process; further ones are dropped, as with a full socket buffer.
+MAX_INBOX_EVENTS = 4096
+CLIENT_MARGIN_MS = 500.0  # time that a client waits beyond the call's timeout
+MAX_ATTEMPTS = 8
+CHECK_MS = 50.0
+MAX_CONFIGS = 4
+RECOVERY_MS = 40_000.0  # time in which the cluster has to recover after all faults are removed
 NodeType = Callable[
     [NodeSetup, dict[str, PersistedGroup], Random, float, float, Invariants, Iterable[LeaseClient]],
     ClusterNode,
@@ -71,55 +72,59 @@
 
 @dataclass(slots=True)
 class Machine:
-    """One gateway's machine.  `life` counts its processes."""
+    """One gateway's machine.
+
+    `process_number` grows with each start and each end of a process.
+    """
 
     name: str
-    hall: str
+    zone: str
     clock: Clock
     disk: Disk
     setup: NodeSetup
     node: ClusterNode | None = None
-    life: int = 0
-    boot: int = 1  # of the machine itself: a lost one boots anew
+    process_number: int = 0
+    boot: int = 1  # number of the machine's boot; a lost machine boots again
     frozen: bool = False
     inbox: list[NodeEvent] = field(default_factory=list)
-    tick_at: float = math.inf
-    waits: dict[str, Callable[[Any], None]] = field(default_factory=dict)  # calls under way, by token
+    next_tick_ms: float = math.inf
+    # Callbacks of calls in flight, by token.
+    pending_calls: dict[str, Callable[[Any], None]] = field(default_factory=dict)
 
     @property
     def id(self) -> str:
-        """As it is now."""
+        """The current member id."""
         return self.setup.member_id
 
     @property
     def up(self) -> bool:
-        """Whether it runs and is not frozen."""
+        """Whether its process runs and is not frozen."""
         return self.node is not None and not self.frozen
 
 
-class FleetWorld:
-    """One run of a plan."""
+class SimulatedCluster:
+    """One simulated run of a plan."""
 
     def __init__(self, plan: Plan, node_type: NodeType = ClusterNode) -> None:
         self.plan, self._node_type = plan, node_type
         seed = f"fleet/{plan.seed}"
-        self.calendar = Calendar()
-        self.network = Network(self.calendar, Random(f"{seed}/links"), self._arrive)
-        self.draw = Random(f"{seed}/load")
-        self._nodes_draw = Random(f"{seed}/nodes")
+        self.event_queue = EventQueue()
+        self.network = Network(self.event_queue, Random(f"{seed}/links"), self._arrive)
+        self.rng = Random(f"{seed}/load")
+        self._nodes_rng = Random(f"{seed}/nodes")
         disks, clocks = Random(f"{seed}/disks"), Random(f"{seed}/clocks")
         self.timings = Timings(snapshot_entries=plan.snapshot_entries, clock_drift=max(plan.drift, 0.01))
-        self.idle_ms = 3000.0  # of the servers
+        self.idle_ms = 3000.0  # idle timeout of the servers
         self.rules = Invariants()
         names = [f"g{number}" for number in range(1, plan.members + 1)]
-        members = tuple(Member(name, f"hall-{'ab'[at % plan.halls]}") for at, name in enumerate(names))
+        members = tuple(Member(name, f"hall-{'ab'[index % plan.halls]}") for index, name in enumerate(names))
         self.machines: dict[str, Machine] = {}
         for member in members:
             half = plan.drift / 2.0
             clock = Clock(
                 1.0 + clocks.uniform(-half, half), clocks.uniform(1e5, 1e8), clocks.uniform(-2000.0, 2000.0)
             )
-            disk = Disk(self.calendar, disks, partial(self._stored, member.name))
+            disk = Disk(self.event_queue, disks, partial(self._disk_event, member.name))
             disk.fsync_ms = plan.fsync_ms
             self.machines[member.name] = Machine(
                 member.name,
@@ -140,27 +145,26 @@
                 ),
             )
         self.findings: list[Finding] = []
-        self.over = False
-        self.ops: list[Operation] = []
-        self.says: dict[str, int] = {}
+        self.stopped = False
+        self.operations: list[Operation] = []
+        self.log_events: dict[str, int] = {}
         self.calls = 0
-        self._open: dict[str, dict[str, Operation]] = {}  # calls under way for each key, by id
+        self._in_flight: dict[str, dict[str, Operation]] = {}  # calls in flight, by key and id
         self._leaders: dict[tuple[str, int], str] = {}
         self._votes: dict[tuple[str, str, int], str] = {}
-        self.most_leaders = 1
-        self._configs: dict[
-            str, list[GroupConfiguration]
-        ] = {}  # the last that leaders told of each group: one counts at once
-        self._commits: dict[str, int] = {}  # highest that a leader told, for each group
-        self._before: dict[str, int] = {}  # the same at the look before
-        self._loss_at = math.inf
+        self.max_leaders = 1
+        # Latest configurations in leaders' messages, by group; each takes effect at once.
+        self._configs: dict[str, list[GroupConfiguration]] = {}
+        self._commits: dict[str, int] = {}  # highest commit index in leaders' messages, by group
+        self._previous_commits: dict[str, int] = {}  # the same at the previous check
+        self._loss_at_ms = math.inf
         self.restored_ms: float | None = None
-        self._silent: dict[str, float] = {}
+        self._silent_ms: dict[str, float] = {}
         self.unavailable_ms = 0.0
         self.unreadable = 0
         self.loading = True
-        self.unset = 0  # calls that never came to an end
-        self.gates = Gates(self)
+        self.timed_out_calls = 0
+        self.gateways = SimulatedGateways(self)
 
     # Processes ------------------------------------------------------------------------------------------
 
@@ -169,153 +173,159 @@
         machine = self.machines[name]
         if machine.node is not None:
             return
-        machine.life += 1
-        machine.frozen, machine.inbox, machine.tick_at = False, [], math.inf
-        true = self.calendar.now
-        machine.clock.start(true)
-        now = machine.clock.now(true)
+        machine.process_number += 1
+        machine.frozen, machine.inbox, machine.next_tick_ms = False, [], math.inf
+        true_ms = self.event_queue.now
+        machine.clock.start(true_ms)
+        now = machine.clock.now(true_ms)
         machine.setup = replace(machine.setup, incarnation=machine.disk.incarnation)
-        saved = machine.disk.start(machine.life)
+        saved = machine.disk.start(machine.process_number)
         try:
             machine.node = self._node_type(
                 machine.setup,
                 saved,
-                Random(self._nodes_draw.getrandbits(64)),
+                Random(self._nodes_rng.getrandbits(64)),
                 now,
                 machine.clock.wall(now),
                 self.rules,
-                self.gates.start(machine, now),
+                self.gateways.process_started(machine, now),
             )
         except InvariantViolation as fault:
-            self.found(fault.rule.name, str(fault))
+            self.record_finding(fault.rule.name, str(fault))
             return
-        self._give(name, machine.life, [Tick()])
+        self._deliver_events(name, machine.process_number, [Tick()])
 
     def kill(self, name: str, lost: bool = False) -> None:
-        """SIGKILL; `lost`: the machine itself is gone, and tells nobody."""
+        """Kill the process; with `lost`, the machine itself is lost and resets no connection."""
         machine = self.machines[name]
         if machine.node is None:
             return
-        self.gates.ended(machine, lost)
+        self.gateways.process_ended(machine, lost)
         machine.boot += lost
         machine.node = None
-        machine.life += 1
+        machine.process_number += 1
         machine.frozen, machine.inbox = False, []
         machine.disk.crash()
-        waits, machine.waits = machine.waits, {}
-        for done in waits.values():
+        pending_calls, machine.pending_calls = machine.pending_calls, {}
+        for done in pending_calls.values():
             done(None)
 
     def freeze(self, name: str) -> None:
-        """SIGSTOP."""
+        """Stop the process, as with SIGSTOP."""
         machine = self.machines[name]
         machine.frozen = machine.node is not None
 
     def thaw(self, name: str) -> None:
-        """SIGCONT: what piled up comes at once."""
+        """Continue the process, as with SIGCONT; it handles all queued events at once."""
         machine = self.machines[name]
         if machine.frozen:
             machine.frozen = False
-            events, machine.inbox, machine.tick_at = machine.inbox, [], math.inf
-            self._give(name, machine.life, [*events, Tick()])
+            events, machine.inbox, machine.next_tick_ms = machine.inbox, [], math.inf
+            self._deliver_events(name, machine.process_number, [*events, Tick()])
 
-    def _stored(self, name: str, life: int, event: NodeEvent) -> None:
-        self._give(name, life, [event])
+    def _disk_event(self, name: str, process_number: int, event: NodeEvent) -> None:
+        self._deliver_events(name, process_number, [event])
 
-    def _give(self, name: str, life: int, events: list[NodeEvent]) -> None:
+    def _deliver_events(self, name: str, process_number: int, events: list[NodeEvent]) -> None:
         machine = self.machines[name]
         node = machine.node
-        if node is None or life != machine.life or self.over:
+        if node is None or process_number != machine.process_number or self.stopped:
             return
         if machine.frozen:
-            machine.inbox += events[: max(MOST_INBOX - len(machine.inbox), 0)]
+            machine.inbox += events[: max(MAX_INBOX_EVENTS - len(machine.inbox), 0)]
             return
-        true = self.calendar.now
-        now = machine.clock.now(true)
+        true_ms = self.event_queue.now
+        now = machine.clock.now(true_ms)
         wall = machine.clock.wall(now)
         effects: list[Effect] = []
         try:
             for event in events:
                 effects += node.handle(now, wall, event)
         except InvariantViolation as fault:
-            self.found(fault.rule.name, f"{name}: {fault}")
+            self.record_finding(fault.rule.name, f"{name}: {fault}")
             return
         except Exception:
-            self.found("crash", f"{name}: {traceback.format_exc(limit=-6)}")
+            self.record_finding("crash", f"{name}: {traceback.format_exc(limit=-6)}")
             return
         if effects:
-            self._carry_out(machine, effects)
-        due = max(machine.clock.true(node.due), true + 0.2)
-        if due < machine.tick_at:
-            machine.tick_at = due
-            self.calendar.at(due, self._tick, name, machine.life, due)
+            self._execute_effects(machine, effects)
+        due = max(machine.clock.true_time(node.due), true_ms + 0.2)
+        if due < machine.next_tick_ms:
+            machine.next_tick_ms = due
+            self.event_queue.schedule(due, self._tick, name, machine.process_number, due)
 
-    def _tick(self, name: str, life: int, due: float) -> None:
+    def _tick(self, name: str, process_number: int, due: float) -> None:
         machine = self.machines[name]
-        if life != machine.life or machine.node is None or machine.tick_at != due:
+        if process_number != machine.process_number or machine.node is None or machine.next_tick_ms != due:
             return
-        machine.tick_at = math.inf
-        later = machine.clock.true(machine.node.due)
-        if later > self.calendar.now + 1e-3:
-            machine.tick_at = later
-            self.calendar.at(later, self._tick, name, life, later)
+        machine.next_tick_ms = math.inf
+        later = machine.clock.true_time(machine.node.due)
+        if later > self.event_queue.now + 1e-3:
+            machine.next_tick_ms = later
+            self.event_queue.schedule(later, self._tick, name, process_number, later)
         else:
-            self._give(name, life, [Tick()])
+            self._deliver_events(name, process_number, [Tick()])
 
-    def nudge(self, name: str, life: int) -> None:
-        """A process is told to look what is due."""
-        self._give(name, life, [Tick()])
+    def wake(self, name: str, process_number: int) -> None:
+        """Let a process check its timers."""
+        self._deliver_events(name, process_number, [Tick()])
 
-    def _carry_out(self, machine: Machine, effects: list[Effect]) -> None:
+    def _execute_effects(self, machine: Machine, effects: list[Effect]) -> None:
         sends: dict[str, list[AnyMessage]] = {}
         for effect in effects:
             if isinstance(effect, SendMessage):
                 sends.setdefault(effect.to, []).append(effect.message)
-                self._saw(machine, effect.to, effect.message)
+                self._check_message(machine, effect.to, effect.message)
             elif isinstance(effect, PersistRecords):
-                machine.disk.put(effect)
+                machine.disk.persist(effect)
             elif isinstance(effect, OperationCompleted):
-                done = machine.waits.pop(effect.token, None)
+                done = machine.pending_calls.pop(effect.token, None)
                 if done is not None:
                     done(effect.result)
             elif isinstance(effect, LogEvent):
-                self.says[effect.event] = self.says.get(effect.event, 0) + 1
+                self.log_events[effect.event] = self.log_events.get(effect.event, 0) + 1
         for to, messages in sends.items():
             self.network.send(machine.name, member_name(to), (machine.id, to, messages), messages)
 
     def _arrive(self, sender: str, to: str, envelope: tuple[str, str, list[AnyMessage]]) -> None:
         machine = self.machines.get(to)
-        who, meant, messages = envelope
-        if machine is None or machine.node is None or (meant.partition("/")[2] and meant != machine.id):
-            return  # told to a member as it was before: the shell throws it away
-        self._give(to, machine.life, [MessageReceived(who, message) for message in messages])
+        member_id, receiver_id, messages = envelope
+        if (
+            machine is None
+            or machine.node is None
+            or (receiver_id.partition("/")[2] and receiver_id != machine.id)
+        ):
+            return  # addressed to a previous incarnation: the gateway discards it
+        self._deliver_events(
+            to, machine.process_number, [MessageReceived(member_id, message) for message in messages]
+        )
 
-    # What the referee sees on the network and the disks ---------------------------------------------------
+    # Checks of messages and disks -------------------------------------------------------------------------
 
-    def found(self, name: str, facts: str) -> None:
-        """Something is wrong: the run ends."""
-        self.findings.append(Finding(name, facts, round(self.calendar.now, 3)))
-        self.over = True
+    def record_finding(self, name: str, facts: str) -> None:
+        """Record a violation and end the run."""
+        self.findings.append(Finding(name, facts, round(self.event_queue.now, 3)))
+        self.stopped = True
 
-    def _saw(self, machine: Machine, to: str, message: AnyMessage) -> None:
+    def _check_message(self, machine: Machine, to: str, message: AnyMessage) -> None:
         kind = type(message)
         if isinstance(message, GroupMessage):
-            kept = machine.disk.groups.get(message.group)
-            if kept is not None and message.term < kept.term:
-                self.found("term-forgotten", f"{machine.id}: {message}; on disk term {kept.term}")
+            stored = machine.disk.groups.get(message.group)
+            if stored is not None and message.term < stored.term:
+                self.record_finding("term-forgotten", f"{machine.id}: {message}; on disk term {stored.term}")
         if kind is AppendEntries or kind is InstallSnapshotChunk:
             assert isinstance(message, AppendEntries | InstallSnapshotChunk)
-            at = message.group, message.term
-            leader = self._leaders.setdefault(at, machine.id)
+            group_and_term = message.group, message.term
+            leader = self._leaders.setdefault(group_and_term, machine.id)
             if leader != machine.id:
-                self.most_leaders = max(self.most_leaders, 2)
-                self.found("two-leaders", f"{at}: {leader} and {machine.id}")
+                self.max_leaders = max(self.max_leaders, 2)
+                self.record_finding("two-leaders", f"{group_and_term}: {leader} and {machine.id}")
             if isinstance(message, AppendEntries):
                 for entry in message.entries:
                     if entry.kind == EntryKind.CONFIG:
-                        told = self._configs.setdefault(message.group, [])
-                        told.append(msgspec.msgpack.decode(entry.body, type=GroupConfiguration))
-                        del told[:-MOST_CONFIGS]
+                        configs = self._configs.setdefault(message.group, [])
+                        configs.append(msgspec.msgpack.decode(entry.body, type=GroupConfiguration))
+                        del configs[:-MAX_CONFIGS]
             if isinstance(message, AppendEntries) and message.leader_commit > self._commits.get(
                 message.group, 0
             ):
@@ -324,101 +334,113 @@
         elif kind is RequestVoteReply:
             assert isinstance(message, RequestVoteReply)
             if message.vote_granted and not message.pre_vote:
-                kept = machine.disk.groups.get(message.group, Kept())
-                if kept.term < message.term or (kept.term == message.term and kept.vote != to):
-                    self.found(
+                stored = machine.disk.groups.get(message.group, StoredGroup())
+                if stored.term < message.term or (stored.term == message.term and stored.vote != to):
+                    self.record_finding(
                         "vote-not-stored",
-                        f"{machine.id} for {to}: {message}; on disk term {kept.term}, vote {kept.vote!r}",
+                        f"{machine.id} for {to}: {message}; on disk term {stored.term}, vote {stored.vote!r}",
                     )
-                whom = self._votes.setdefault((machine.name, message.group, message.term), to)
-                if whom != to:
-                    self.found(
+                voted_for = self._votes.setdefault((machine.name, message.group, message.term), to)
+                if voted_for != to:
+                    self.record_finding(
                         "two-votes",
-                        f"{machine.name} in term {message.term} of {message.group}: {whom} and {to}",
+                        f"{machine.name} in term {message.term} of {message.group}: {voted_for} and {to}",
                     )
         elif kind is AppendEntriesReply:
             assert isinstance(message, AppendEntriesReply)
             if message.success and message.index:
-                kept = machine.disk.groups.get(message.group, Kept())
-                if kept.last < message.index:
-                    self.found(
-                        "acknowledged-not-stored", f"{machine.id}: {message}; on disk up to {kept.last}"
+                stored = machine.disk.groups.get(message.group, StoredGroup())
+                if stored.last_index < message.index:
+                    self.record_finding(
+                        "acknowledged-not-stored",
+                        f"{machine.id}: {message}; on disk up to {stored.last_index}",
                     )
 
     def _check_commit(self, leader: Machine, group: str, index: int) -> None:
-        """What a leader tells as committed is on the disks of a majority, or was when they said so."""
-        mine = leader.disk.groups.get(group, Kept())
-        entry = mine.at(index)
+        """Check that an entry committed by a leader is, or was, on the disks of a majority."""
+        leader_group = leader.disk.groups.get(group, StoredGroup())
+        entry = leader_group.entry_at(index)
         configs = list(self._configs.get(group, ()))
-        have: set[str] = set()
+        stored_on: set[str] = set()
         for machine in self.machines.values():
-            known = {**machine.disk.lost, machine.disk.incarnation: machine.disk.groups}
-            for incarnation, groups in known.items():
-                kept = groups.get(group)
-                if kept is None:
+            groups_by_incarnation = {
+                **machine.disk.wiped_groups,
+                machine.disk.incarnation: machine.disk.groups,
+            }
+            for incarnation, groups in groups_by_incarnation.items():
+                stored = groups.get(group)
+                if stored is None:
                     continue
-                if kept.config is not None and kept.config not in configs:
-                    configs.append(kept.config)
-                here = kept.at(index)
-                if kept.last >= index and (entry is None or here is None or here.term == entry.term):
-                    have.add(f"{machine.name}/{incarnation}")
-        # Which members hold is the leader's to say; its own store may lag behind, then another's says it.
-        if not any(sum(who in have for who in config.voters) * 2 > len(config.voters) for config in configs):
-            self.found(
-                "committed-not-stored", f"{group} {index} by {leader.id}: on {sorted(have)} of {configs}"
+                if stored.config is not None and stored.config not in configs:
+                    configs.append(stored.config)
+                local_entry = stored.entry_at(index)
+                if stored.last_index >= index and (
+                    entry is None or local_entry is None or local_entry.term == entry.term
+                ):
+                    stored_on.add(f"{machine.name}/{incarnation}")
+        # The leader's configuration decides, but its own disk may lag, so that any disk's configuration counts.
+        if not any(
+            sum(member_id in stored_on for member_id in config.voters) * 2 > len(config.voters)
+            for config in configs
+        ):
+            self.record_finding(
+                "committed-not-stored", f"{group} {index} by {leader.id}: on {sorted(stored_on)} of {configs}"
             )
 
     def groups(self) -> list[str]:
-        """All that any disk knows, but the founding record's."""
+        """The groups on any disk, except that of the bootstrap record."""
         return sorted(
             {
                 group
                 for machine in self.machines.values()
                 for group in machine.disk.groups
-                if group != BOOTSTRAP_GROUP and machine.disk.groups[group].last
+                if group != BOOTSTRAP_GROUP and machine.disk.groups[group].last_index
             }
         )
 
     def config(self, group: str) -> GroupConfiguration | None:
-        """The members of a group by the disks: those of the log that won last."""
+        """The configuration of a group in the most up-to-date log on any disk."""
         best: tuple[int, int] = -1, -1
-        found: GroupConfiguration | None = None
+        config: GroupConfiguration | None = None
         for machine in self.machines.values():
-            kept = machine.disk.groups.get(group)
-            if kept is None or (kept.last_term, kept.last) <= best:
+            stored = machine.disk.groups.get(group)
+            if stored is None or (stored.last_term, stored.last_index) <= best:
                 continue
-            if kept.config is not None:
-                best, found = (kept.last_term, kept.last), kept.config
-        return found
+            if stored.config is not None:
+                best, config = (stored.last_term, stored.last_index), stored.config
+        return config
+
+    def incomplete_replicas(self) -> list[tuple[str, str]]:
+        """Incomplete replicas, by group and member id.
 
-    def missing(self) -> list[tuple[str, str]]:
-        """Copies that are not there, not on a machine that runs, or without what was committed a while
-        ago, by group and Id; one without an Id where a group has too few, or is none yet."""
+        These are replicas that do not exist, whose machine does not run, that are still learners, or that lack entries
+        committed before the previous check.  The id is empty if a group has too few voters or no configuration.
+        """
         up = {machine.id for machine in self.machines.values() if machine.up and not machine.disk.full}
-        ups = {member_name(one) for one in up}
-        found: list[tuple[str, str]] = []
+        up_names = {member_name(running_id) for running_id in up}
+        incomplete: list[tuple[str, str]] = []
         for group in self.groups():
             config = self.config(group)
-            if config is None or len(config.voters) < min(self.plan.copies, len(ups)):
-                found.append((group, ""))
-            for who in (*config.voters, *config.learners) if config is not None else ():
-                kept = self.machines[member_name(who)].disk.groups.get(group)
+            if config is None or len(config.voters) < min(self.plan.copies, len(up_names)):
+                incomplete.append((group, ""))
+            for member_id in (*config.voters, *config.learners) if config is not None else ():
+                stored = self.machines[member_name(member_id)].disk.groups.get(group)
                 if (
-                    who not in up
-                    or kept is None
-                    or kept.last < self._before.get(group, 0)
-                    or who not in config.voters  # type: ignore[union-attr]
+                    member_id not in up
+                    or stored is None
+                    or stored.last_index < self._previous_commits.get(group, 0)
+                    or member_id not in config.voters  # type: ignore[union-attr]
                 ):
-                    found.append((group, who))
-        return found
+                    incomplete.append((group, member_id))
+        return incomplete
 
-    def whole(self) -> bool:
-        """Whether every group has all its copies."""
-        return bool(self.groups()) and not self.missing()
+    def replicas_complete(self) -> bool:
+        """Whether all replicas of all groups are complete."""
+        return bool(self.groups()) and not self.incomplete_replicas()
 
-    def joined(self, names: Iterable[str]) -> set[str]:
-        """The most of these machines that run, can store, and reach each other and back within an election
-        time."""
+    def connected_machines(self, names: Iterable[str]) -> set[str]:
+        """The largest set found of these machines that run, can write, and reach each other with a round trip below the
+        election timeout."""
         up = [name for name in names if self.machines[name].up and not self.machines[name].disk.full]
         delays = self.network.delays
         cuts = self.network.cuts | {
@@ -428,37 +450,39 @@
         }
         best: set[str] = set()
         for first in up:
-            made = [first]
+            connected = [first]
             for other in up:
-                if other != first and not any((one, other) in cuts or (other, one) in cuts for one in made):
-                    made.append(other)
-            if len(made) > len(best):
-                best = set(made)
+                if other != first and not any(
+                    (reached, other) in cuts or (other, reached) in cuts for reached in connected
+                ):
+                    connected.append(other)
+            if len(connected) > len(best):
+                best = set(connected)
         return best
 
-    def _look(self) -> None:
-        self._watch_copies()
-        self.gates.look()
+    def _check(self) -> None:
+        self._check_replicas()
+        self.gateways.check()
         if self.loading:
-            self._watch_silence()
-        self._before = dict(self._commits)
-        if not self.over:
-            self.calendar.at(self.calendar.now + LOOK_MS, self._look)
-
-    def _watch_copies(self) -> None:
-        if self._loss_at < math.inf and self.whole():
-            self.restored_ms = max(self.restored_ms or 0.0, self.calendar.now - self._loss_at)
-            self._loss_at = math.inf
-
-    def _watch_silence(self) -> None:
-        """Times without an answer, key by key, while majorities of all members and of the key's group are
-        joined and somebody there asks."""
-        joined = self.joined(self.machines)
-        if len(joined) * 2 <= self.plan.members:
-            self._silent.clear()
+            self._measure_unavailability()
+        self._previous_commits = dict(self._commits)
+        if not self.stopped:
+            self.event_queue.schedule(self.event_queue.now + CHECK_MS, self._check)
+
+    def _check_replicas(self) -> None:
+        if self._loss_at_ms < math.inf and self.replicas_complete():
+            self.restored_ms = max(self.restored_ms or 0.0, self.event_queue.now - self._loss_at_ms)
+            self._loss_at_ms = math.inf
+
+    def _measure_unavailability(self) -> None:
+        """Measure, by key, the time without an answer while majorities of all members and of the key's group are
+        connected and a call is in flight at one of them."""
+        connected_machines = self.connected_machines(self.machines)
+        if len(connected_machines) * 2 <= self.plan.members:
+            self._silent_ms.clear()
             return
         served: dict[str, bool] = {}
-        for key, ops in self._open.items():
+        for key, ops in self._in_flight.items():
             if not ops:
                 continue
             group = group_for_key(f"p:{key}", self.plan.groups)
@@ -467,35 +491,36 @@
                 served[group] = (
                     config is not None
                     and sum(
-                        member_name(who) in joined and who == self.machines[member_name(who)].id
-                        for who in config.voters
+                        member_name(member_id) in connected_machines
+                        and member_id == self.machines[member_name(member_id)].id
+                        for member_id in config.voters
                     )
                     >= config.majority()
                 )
             if not served[group]:
-                self._silent[key] = 0.0
-            elif any(op.through in joined for op in ops.values()):
-                self._silent[key] = self._silent.get(key, 0.0) + LOOK_MS
-                self.unavailable_ms = max(self.unavailable_ms, self._silent[key])
+                self._silent_ms[key] = 0.0
+            elif any(op.through in connected_machines for op in ops.values()):
+                self._silent_ms[key] = self._silent_ms.get(key, 0.0) + CHECK_MS
+                self.unavailable_ms = max(self.unavailable_ms, self._silent_ms[key])
 
     # Faults ---------------------------------------------------------------------------------------------
 
-    def happen(self, fault: Fault, since: float = -1.0) -> None:
-        """Do one."""
-        now = self.calendar.now
-        if fault.mode == "whole" and not (self.whole() and self.loading):
+    def inject_fault(self, fault: Fault, since: float = -1.0) -> None:
+        """Inject a fault; `since`: when it began to wait for complete replicas, or -1."""
+        now = self.event_queue.now
+        if fault.mode == "whole" and not (self.replicas_complete() and self.loading):
             since = now if since < 0 else since
             if (
                 now - since < 20_000.0 and self.loading
-            ):  # not after the end's mending, which nobody would mend
-                self.calendar.at(now + LOOK_MS, self.happen, fault, since)
+            ):  # not after the end, when no fault is removed any more
+                self.event_queue.schedule(now + CHECK_MS, self.inject_fault, fault, since)
             return
         if fault.word in ("kill", "lose", "freeze", "cut", "full"):
-            self.gates.loss()
-        if self._loss_at < math.inf:  # what happens beside a loss begins the count anew
-            self._loss_at = now
+            self.gateways.record_loss()
+        if self._loss_at_ms < math.inf:  # a further fault restarts the measurement
+            self._loss_at_ms = now
         if fault.target == "gateways":
-            self._links(fault)
+            self._inject_link_fault(fault)
             return
         name = f"g{fault.groups[0][0]}"
         machine = self.machines[name]
@@ -507,11 +532,11 @@
             case "lose":
                 self.kill(name, lost=True)
                 machine.disk.wipe()
-                self._loss_at = min(self._loss_at, now)
+                self._loss_at_ms = min(self._loss_at_ms, now)
             case "spoil":
                 if machine.node is None:
                     machine.disk.wipe()
-                    self._loss_at = min(self._loss_at, now)
+                    self._loss_at_ms = min(self._loss_at_ms, now)
             case "freeze":
                 self.freeze(name)
             case "thaw":
@@ -526,18 +551,18 @@
             case _:
                 raise ValueError(f"unknown fault {fault.word!r}")
 
-    def _links(self, fault: Fault) -> None:
+    def _inject_link_fault(self, fault: Fault) -> None:
         network = self.network
         sides = [[f"g{number}" for number in group] for group in fault.groups]
         pairs = [
-            (one, other)
-            for at, side in enumerate(sides)
-            for then in sides[at + 1 :]
-            for one in side
-            for other in then
+            (sender, receiver)
+            for index, side in enumerate(sides)
+            for other_side in sides[index + 1 :]
+            for sender in side
+            for receiver in other_side
         ]
         if fault.mode != "one-way":
-            pairs += [(other, one) for one, other in pairs]
+            pairs += [(receiver, sender) for sender, receiver in pairs]
         match fault.word:
             case "cut":
                 network.cut(pairs)
@@ -559,131 +584,150 @@
     # The load -------------------------------------------------------------------------------------------
 
     def call(self, name: str, command: Command, done: Callable[[Any], None]) -> None:
-        """Hand a command to a member; `done` is given its result, or None where nobody knows."""
+        """Call a member; `done` is called with the result, or None if the outcome is unknown."""
         machine = self.machines[name]
         if machine.node is None:
             done(None)
             return
         self.calls += 1
         token = f"c{self.calls}"
-        machine.waits[token] = done
-        self.calendar.at(self.calendar.now + self.timings.call_ms + CLIENT_MS, self._late, name, token)
-        self._give(name, machine.life, [ClusterCall(token, command)])
+        machine.pending_calls[token] = done
+        self.event_queue.schedule(
+            self.event_queue.now + self.timings.call_ms + CLIENT_MARGIN_MS, self._time_out, name, token
+        )
+        self._deliver_events(name, machine.process_number, [ClusterCall(token, command)])
 
     def leave(self, name: str, done: Callable[[Any], None]) -> None:
-        """Let a process hand over what it leads."""
+        """Let a process hand over the groups that it leads; `done` is called at the end."""
         machine = self.machines[name]
         self.calls += 1
         token = f"l{self.calls}"
-        machine.waits[token] = done
-        self.calendar.at(self.calendar.now + 1000.0, self._late, name, token)
-        self._give(name, machine.life, [LeaveCluster(token)])
+        machine.pending_calls[token] = done
+        self.event_queue.schedule(self.event_queue.now + 1000.0, self._time_out, name, token)
+        self._deliver_events(name, machine.process_number, [LeaveCluster(token)])
 
-    def _late(self, name: str, token: str) -> None:
-        done = self.machines[name].waits.pop(token, None)
+    def _time_out(self, name: str, token: str) -> None:
+        done = self.machines[name].pending_calls.pop(token, None)
         if done is not None:
-            if self.machines[name].up and not self.over and self.calendar.now < self.plan.length_ms:
-                self.unset += 1
+            if self.machines[name].up and not self.stopped and self.event_queue.now < self.plan.length_ms:
+                self.timed_out_calls += 1
             done(None)
 
-    def _load(self) -> None:
-        if not self.loading or self.over:
+    def _generate_load(self) -> None:
+        if not self.loading or self.stopped:
             return
-        plan, draw = self.plan, self.draw
-        self.calendar.at(self.calendar.now + 1000.0 * draw.expovariate(plan.proposals), self._load)
+        plan, rng = self.plan, self.rng
+        self.event_queue.schedule(
+            self.event_queue.now + 1000.0 * rng.expovariate(plan.proposals), self._generate_load
+        )
         up = [name for name, machine in self.machines.items() if machine.node is not None]
         if not up:
             return
-        number = len(self.ops) + 1
-        read = draw.random() < 0.25
+        number = len(self.operations) + 1
+        read = rng.random() < 0.25
         op = Operation(
-            f"n{draw.randrange(plan.keys)}", f"o{number}", None if read else f"v{number}", self.calendar.now
+            f"n{rng.randrange(plan.keys)}", f"o{number}", None if read else f"v{number}", self.event_queue.now
         )
-        self.ops.append(op)
-        self._open.setdefault(op.key, {})[op.id] = op
-        self._try(op, draw.choice(up), 1, False)
+        self.operations.append(op)
+        self._in_flight.setdefault(op.key, {})[op.id] = op
+        self._attempt(op, rng.choice(up), 1, False)
 
-    def _try(self, op: Operation, name: str, tries: int, unknown: bool) -> None:
+    def _attempt(self, op: Operation, name: str, attempt: int, may_have_applied: bool) -> None:
         command: Command = (
-            ReadValue(id=f"{op.id}.{tries}", name=op.key)
+            ReadValue(id=f"{op.id}.{attempt}", name=op.key)
             if op.value is None
             else PutValue(id=op.id, name=op.key, value=op.value)
         )
         op.through = name
-        self.call(name, command, lambda result: self._answered(op, name, tries, unknown, result))
+        self.call(name, command, lambda result: self._answered(op, name, attempt, may_have_applied, result))
 
-    def _answered(self, op: Operation, name: str, tries: int, unknown: bool, result: Any) -> None:
+    def _answered(self, op: Operation, name: str, attempt: int, may_have_applied: bool, result: Any) -> None:
         if isinstance(result, ApplyResult) and result.error is None:
-            if op.outcome == "answered":  # a repeat: told as the first time
+            if op.outcome == "answered":  # a repeated call gets the first result
                 if result.value != op.result:
-                    self.found(
+                    self.record_finding(
                         "twice", f"{op.key}: {op.id} was answered {op.result!r}, then {result.value!r}"
                     )
                 return
-            op.outcome, op.result, op.returned = "answered", result.value, self.calendar.now
-            self._silent[op.key] = 0.0
-            self._end(op)
-            if op.value is not None and self.draw.random() < 0.1:
-                self.calendar.at(self.calendar.now + self.draw.uniform(0.0, 1500.0), self._again, op, tries)
+            op.outcome, op.result, op.returned = "answered", result.value, self.event_queue.now
+            self._silent_ms[op.key] = 0.0
+            self._finish_operation(op)
+            if op.value is not None and self.rng.random() < 0.1:
+                self.event_queue.schedule(
+                    self.event_queue.now + self.rng.uniform(0.0, 1500.0), self._repeat, op, attempt
+                )
             return
         if op.outcome == "answered":
             return
         error = result.error if isinstance(result, ApplyResult) else result
-        unknown = unknown or not isinstance(error, ClusterError) or error.code == "unknown-outcome"
-        if tries < MOST_TRIES and (error is None or error.is_retryable) and not self.over:
+        may_have_applied = (
+            may_have_applied or not isinstance(error, ClusterError) or error.code == "unknown-outcome"
+        )
+        if attempt < MAX_ATTEMPTS and (error is None or error.is_retryable) and not self.stopped:
             up = [other for other, machine in self.machines.items() if machine.node is not None] or [name]
-            self.calendar.at(
-                self.calendar.now + self.draw.uniform(20.0, 300.0),
-                self._try,
+            self.event_queue.schedule(
+                self.event_queue.now + self.rng.uniform(20.0, 300.0),
+                self._attempt,
                 op,
-                self.draw.choice(up),
-                tries + 1,
-                unknown,
+                self.rng.choice(up),
+                attempt + 1,
+                may_have_applied,
             )
             return
-        op.outcome = "unknown" if unknown else "refused"
-        self._end(op)
+        op.outcome = "unknown" if may_have_applied else "refused"
+        self._finish_operation(op)
 
-    def _again(self, op: Operation, tries: int) -> None:
+    def _repeat(self, op: Operation, attempt: int) -> None:
         up = [name for name, machine in self.machines.items() if machine.node is not None]
         if up:
-            self._try(op, self.draw.choice(up), tries + MOST_TRIES, True)
+            self._attempt(op, self.rng.choice(up), attempt + MAX_ATTEMPTS, True)
 
-    def _end(self, op: Operation) -> None:
-        del self._open[op.key][op.id]
-        if not self._open[op.key]:
-            self._silent[op.key] = 0.0
+    def _finish_operation(self, op: Operation) -> None:
+        del self._in_flight[op.key][op.id]
+        if not self._in_flight[op.key]:
+            self._silent_ms[op.key] = 0.0
 
     # The run --------------------------------------------------------------------------------------------
 
     def run(self) -> FleetFigures:
-        """Play it to the end, mend all, and read everything back through every member."""
+        """Play the plan, remove all faults, and read every key back through every member."""
         for name in self.machines:
-            self.calendar.at(self.draw.uniform(0.0, 200.0), self.start, name)
-        self.calendar.at(LOOK_MS, self._look)
+            self.event_queue.schedule(self.rng.uniform(0.0, 200.0), self.start, name)
+        self.event_queue.schedule(CHECK_MS, self._check)
         if self.plan.proposals:
-            self.calendar.at(2000.0, self._load)
-        self.gates.begin()
+            self.event_queue.schedule(2000.0, self._generate_load)
+        self.gateways.start_load()
         for fault in self.plan.faults:
-            self.calendar.at(fault.at_ms, self.happen, fault)
-        self._until(self.plan.length_ms, lambda: False)
+            self.event_queue.schedule(fault.at_ms, self.inject_fault, fault)
+        self._run_until(self.plan.length_ms, lambda: False)
         self.loading = False
-        self._mend()
-        end = self.calendar.now
-        quiet = self._until(
-            end + SETTLE_MS, lambda: not any(self._open.values()) and self.whole() and self.gates.rolled()
+        self._remove_faults()
+        end = self.event_queue.now
+        recovered = self._run_until(
+            end + RECOVERY_MS,
+            lambda: (
+                not any(self._in_flight.values())
+                and self.replicas_complete()
+                and self.gateways.restarts_ended()
+            ),
         )
-        if not self.over and (states := self.gates.half_drained()) and self.gates.rolled():
-            self._until(self.calendar.now + 3000.0, lambda: not self.gates.half_drained())
-            if self.gates.half_drained():
-                self.found("half-drained", f"{states}: {self.gates.roll_states}")
-        if not self.over and not self.plan.wild and not self.gates.rolled():
-            self.found("roll-not-ended", f"{self.gates.roll_states}")
-        if not quiet and not self.plan.wild and not self.over:
-            self.found("not-whole-again", f"{SETTLE_MS:.0f} ms after all was mended: {self._state()}")
-        self.gates.finish()
+        if (
+            not self.stopped
+            and (states := self.gateways.half_drained_gateways())
+            and self.gateways.restarts_ended()
+        ):
+            self._run_until(self.event_queue.now + 3000.0, lambda: not self.gateways.half_drained_gateways())
+            if self.gateways.half_drained_gateways():
+                self.record_finding("half-drained", f"{states}: {self.gateways.roll_states}")
+        if not self.stopped and not self.plan.wild and not self.gateways.restarts_ended():
+            self.record_finding("roll-not-ended", f"{self.gateways.roll_states}")
+        if not recovered and not self.plan.wild and not self.stopped:
+            self.record_finding(
+                "not-whole-again", f"{RECOVERY_MS:.0f} ms after all was mended: {self._state()}"
+            )
+        self.gateways.finish()
         self._read_back()
-        verdict = check_history(self.ops)
+        verdict = check_history(self.operations)
         self.findings += verdict.findings
         self._compare_logs()
         return self._figures(verdict)
@@ -691,75 +735,74 @@
     def _state(self) -> str:
         return "; ".join(f"{group}: {self.config(group)}" for group in self.groups())
 
-    def _until(self, until: float, good: Callable[[], bool]) -> bool:
-        while self.calendar.now < until and not self.over:
-            if good():
+    def _run_until(self, until: float, condition: Callable[[], bool]) -> bool:
+        while self.event_queue.now < until and not self.stopped:
+            if condition():
                 return True
-            self.calendar.run(min(self.calendar.now + 200.0, until))
-        return good()
+            self.event_queue.run(min(self.event_queue.now + 200.0, until))
+        return condition()
 
     def settle(self, ms: float) -> None:
-        """Let it run on."""
-        self._until(self.calendar.now + ms, lambda: False)
+        """Continue the run for `ms`."""
+        self._run_until(self.event_queue.now + ms, lambda: False)
 
-    def _mend(self) -> None:
+    def _remove_faults(self) -> None:
         self.network.mend()
         for name, machine in self.machines.items():
             machine.disk.fsync_ms = self.plan.fsync_ms
-            if machine.disk.full:  # a store that broke takes nothing until its process starts again
+            if machine.disk.full:  # after a failed write, a process writes nothing until its restart
                 machine.disk.full = False
                 self.kill(name)
             self.thaw(name)
             self.start(name)
 
     def _read_back(self) -> None:
-        """Each key, through each member; a value that is told is judged with the history."""
-        left: list[Operation] = []
-        for key in sorted({op.key for op in self.ops}):
+        """Read each key through each member; the reads become part of the history."""
+        reads: list[Operation] = []
+        for key in sorted({op.key for op in self.operations}):
             for name in self.machines:
-                op = Operation(key, f"end/{key}/{name}", None, self.calendar.now)
-                self.ops.append(op)
-                left.append(op)
-                self._open.setdefault(key, {})[op.id] = op
-                self._try(op, name, 1, False)
-        self._until(self.calendar.now + 15_000.0, lambda: not any(self._open.values()))
-        for op in left:
+                op = Operation(key, f"end/{key}/{name}", None, self.event_queue.now)
+                self.operations.append(op)
+                reads.append(op)
+                self._in_flight.setdefault(key, {})[op.id] = op
+                self._attempt(op, name, 1, False)
+        self._run_until(self.event_queue.now + 15_000.0, lambda: not any(self._in_flight.values()))
+        for op in reads:
             if op.outcome != "answered":
                 self.unreadable += 1
-                if not self.plan.wild and not self.over:
-                    self.found("unreadable", f"{op.key} through {op.through}")
+                if not self.plan.wild and not self.stopped:
+                    self.record_finding("unreadable", f"{op.key} through {op.through}")
 
     def _compare_logs(self) -> None:
-        """Two logs that agree in an entry's index and term agree in it and in all before (Raft's log
-        matching)."""
+        """Check Raft's log matching property: entries with the same index and term are equal on all disks."""
         for group in self.groups():
-            known: dict[tuple[int, int], tuple[str, bytes]] = {}
+            entries_by_position: dict[tuple[int, int], tuple[str, bytes]] = {}
             for name, machine in self.machines.items():
-                kept = machine.disk.groups.get(group)
-                for entry in kept.entries if kept else ():
-                    first = known.setdefault((entry.index, entry.term), (name, entry.body))
+                stored = machine.disk.groups.get(group)
+                for entry in stored.entries if stored else ():
+                    first = entries_by_position.setdefault((entry.index, entry.term), (name, entry.body))
                     if first[1] != entry.body:
-                        self.found(
+                        self.record_finding(
                             "logs-differ", f"{group} {entry.index}/{entry.term}: {first[0]} and {name}"
                         )
 
     def _figures(self, verdict: Verdict) -> FleetFigures:
         rules = sum(finding.name.isupper() for finding in self.findings)
-        gates, plan = self.gates, self.plan
+        gateways, plan = self.gateways, self.plan
         return FleetFigures(
             verdict.acknowledged,
             verdict.lost,
             verdict.twice,
-            self.most_leaders,
+            self.max_leaders,
             self.unavailable_ms,
             self.restored_ms,
-            gates.contract_floor(),
-            gates.contract_over(),
-            gates.shortfall_error(),
-            gates.lent_share(),
-            gates.connections_over if plan.connections else None,
-            next(iter(gates.roll_states.values()), None),
-            gates.roll_lost if plan.rolls else None,
+            gateways.contract_floor(),
+            gateways.contract_over(),
+            gateways.shortfall_error(),
+            gateways.lent_share(),
+            gateways.connections_over if plan.connections else None,
+            next(iter(gateways.roll_states.values()), None),
+            gateways.roll_lost if plan.rolls else None,
             rules,
-            gates.roll_ratio,
+            gateways.roll_ratio,
         )
--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -140,7 +140,7 @@
 )
 from badgeryoke.testbed.cluster_simulation.fault_plan import Plan
 from badgeryoke.testbed.cluster_simulation.generated_plans import play, play_seed
-from badgeryoke.testbed.cluster_simulation.world import FleetWorld
+from badgeryoke.testbed.cluster_simulation.world import SimulatedCluster
 from badgeryoke.testbed.scenario.model import Fault
 from tests.support.canonical import Digest
 from tests.support.cluster_digest import (
@@ -1463,14 +1463,14 @@
 # -----------------------------------------------------------------------------------------------------
 
 
-def recorded_cluster(digest: Digest) -> Callable[[Any], FleetWorld]:
+def recorded_cluster(digest: Digest) -> Callable[[Any], SimulatedCluster]:
     """A factory for simulated clusters that add their nodes' events and effects to a digest."""
 
     class RecordedClusterNode(RecordedNode):
         pass
 
     RecordedClusterNode.digest = digest
-    return lambda plan: FleetWorld(plan, RecordedClusterNode)
+    return lambda plan: SimulatedCluster(plan, RecordedClusterNode)
 
 
 @pytest.mark.parametrize("disk_fault", ["full", "slow-disk"])
--- a/tests/cluster/test_regressions.py
+++ b/tests/cluster/test_regressions.py
@@ -158,9 +158,9 @@
 from badgeryoke.gateway.cluster.storage import ClusterStorage, open_storage
 from badgeryoke.gateway.cluster.storage.format import ACKNOWLEDGED_FILE, WAL_FILE
 from badgeryoke.gateway.cluster.transport import decode_envelope
-from badgeryoke.testbed.cluster_simulation.clock import UNIX_MS
+from badgeryoke.testbed.cluster_simulation.clock import START_UNIX_MS
 from badgeryoke.testbed.cluster_simulation.fault_plan import Plan
-from badgeryoke.testbed.cluster_simulation.world import FleetWorld, Machine
+from badgeryoke.testbed.cluster_simulation.world import Machine, SimulatedCluster
 from tests.support.raft_group import (
     THREE_VOTERS,
     TIMINGS,
@@ -947,15 +947,15 @@
     assert placement_follower.lagging_for_long(LAGGING_AFTER_MS + 2.0, "g0", replica) == ("b/1",)
 
 
-class RunningCluster(FleetWorld):
+class RunningCluster(SimulatedCluster):
     """A simulated cluster of three running members, with leaders elected and no faults."""
 
     def __init__(self, clock_error_ms: float = 0.0) -> None:
         super().__init__(Plan(1, 3))
-        self.machines["g1"].clock.off = clock_error_ms
+        self.machines["g1"].clock.wall_offset_ms = clock_error_ms
         for name in self.machines:
             self.start(name)
-        self.calendar.run(4000.0)
+        self.event_queue.run(4000.0)
         assert not self.findings
 
     def leader_of(self, group: str) -> Machine:
@@ -966,7 +966,7 @@
         )
 
     def run_for(self, ms: float) -> None:
-        self.calendar.run(self.calendar.now + ms)
+        self.event_queue.run(self.event_queue.now + ms)
 
 
 def test_a_read_is_answered_only_by_a_leader_that_reaches_a_majority() -> None:
@@ -990,7 +990,7 @@
     world = RunningCluster()
     leader = world.leader_of(FLEET)
     if how == "leave":
-        world._give(leader.name, leader.life, [LeaveCluster("l")])
+        world._deliver_events(leader.name, leader.process_number, [LeaveCluster("l")])
     else:
         assert leader.node is not None
         leader.node.avoid_leadership = True
@@ -1004,7 +1004,8 @@
     for machine in world.machines.values():
         assert machine.node is not None
         assert all(
-            state_machine.at_ms < UNIX_MS + 10_000.0 for state_machine in machine.node.state_machines.values()
+            state_machine.at_ms < START_UNIX_MS + 10_000.0
+            for state_machine in machine.node.state_machines.values()
         )
 
 
@@ -1884,28 +1885,28 @@
 
 def test_a_call_that_was_rejected_is_not_applied_later() -> None:
     """Late answers cause a second attempt after 500 ms; by then the capacity suffices."""
-    world = FleetWorld(Plan(1, 3))
+    world = SimulatedCluster(Plan(1, 3))
     for name in world.machines:
         world.start(name)
-    world.calendar.run(4000.0)
+    world.event_queue.run(4000.0)
     leader = next(
         machine
         for machine in world.machines.values()
         if machine.node is not None and machine.node.replicas[FLEET].leading
     )
     other = next(machine for machine in world.machines.values() if machine is not leader)
-    begin_ms = leader.clock.wall(leader.clock.now(world.calendar.now)) + 60_000.0
+    begin_ms = leader.clock.wall(leader.clock.now(world.event_queue.now)) + 60_000.0
     terms = msgspec.convert({**TERMS, "windows": [Window(begin_ms, begin_ms + 1000.0)]}, ContractTerms)
     results: list[Any] = []
     world.network.delays[leader.name, other.name] = 700.0
     world.call(other.name, ProposeContract(id="1", contract="c", terms=terms), results.append)
-    world.calendar.run(world.calendar.now + 200.0)
+    world.event_queue.run(world.event_queue.now + 200.0)
     world.call(
         leader.name,
         SetCapacity(id="2", capacity=1000.0, reserve_fraction=0.0, unreserved_rate=0.0),
         lambda result: None,
     )
-    world.calendar.run(world.calendar.now + 3000.0)
+    world.event_queue.run(world.event_queue.now + 3000.0)
     assert leader.node is not None
     applied = "c" in leader.node.state_machines[FLEET].parts["contracts"].contracts
     rejected = isinstance(results[0], ApplyResult) and isinstance(results[0].error, InsufficientCapacity)
--- a/tests/testbed/test_planted_faults.py
+++ b/tests/testbed/test_planted_faults.py
@@ -22,8 +22,8 @@
 from badgeryoke.cluster.rolling_restart.waves import RollingRestarts
 from badgeryoke.cluster.timings import Timings
 from badgeryoke.testbed.cluster_simulation.disk import Disk
-from badgeryoke.testbed.cluster_simulation.fault_plan import Plan, draw
-from badgeryoke.testbed.cluster_simulation.generated_plans import Played, play
+from badgeryoke.testbed.cluster_simulation.fault_plan import Plan, generate_plan
+from badgeryoke.testbed.cluster_simulation.generated_plans import PlayResult, play
 from badgeryoke.testbed.scenario.model import ContractText, Fault, RollText
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -74,8 +74,8 @@
     """A start forgets for whom the member voted."""
     whole = Disk.start
 
-    def start(self: Disk, life: int) -> dict[str, PersistedGroup]:
-        return {name: replace(saved, voted_for="") for name, saved in whole(self, life).items()}
+    def start(self: Disk, process_number: int) -> dict[str, PersistedGroup]:
+        return {name: replace(saved, voted_for="") for name, saved in whole(self, process_number).items()}
 
     patch.setattr(Disk, "start", start)
 
@@ -84,10 +84,10 @@
     """A start forgets term and vote."""
     whole = Disk.start
 
-    def start(self: Disk, life: int) -> dict[str, PersistedGroup]:
+    def start(self: Disk, process_number: int) -> dict[str, PersistedGroup]:
         return {
             name: replace(saved, current_term=saved.entries[-1].term if saved.entries else 0, voted_for="")
-            for name, saved in whole(self, life).items()
+            for name, saved in whole(self, process_number).items()
         }
 
     patch.setattr(Disk, "start", start)
@@ -97,19 +97,22 @@
     """A store says that it is done when it has begun."""
 
     def sync(self: Disk) -> None:
-        self._under_way, self._asked = self._asked, []
-        for store in self._under_way:
-            self._calendar.at(
-                self._calendar.now, self._tell, self._life, RecordsPersisted(store.group, store.sequence)
+        self._syncing, self._queued = self._queued, []
+        for store in self._syncing:
+            self._event_queue.schedule(
+                self._event_queue.now,
+                self._notify,
+                self._process_number,
+                RecordsPersisted(store.group, store.sequence),
             )
-        self._calendar.at(self._calendar.now + 30.0, self._quietly, self._life)  # type: ignore[attr-defined]
+        self._event_queue.schedule(self._event_queue.now + 30.0, self._quietly, self._process_number)  # type: ignore[attr-defined]
 
-    def quietly(self: Disk, life: int) -> None:
-        if life == self._life:
-            for store in self._under_way:
+    def quietly(self: Disk, process_number: int) -> None:
+        if process_number == self._process_number:
+            for store in self._syncing:
                 self._write(store)
-            self._under_way = []
-            if self._asked:
+            self._syncing = []
+            if self._queued:
                 self._sync()
 
     patch.setattr(Disk, "_sync", sync)
@@ -367,7 +370,7 @@
     for seed in range(1, planted.seeds + 1):
         for kind in planted.kinds:
             own = {"restless": restless, "frozen": frozen, "gone": gone}.get(kind)
-            drawn = own(seed) if own is not None else draw(seed, planted.members, kind)
+            drawn = own(seed) if own is not None else generate_plan(seed, planted.members, kind)
             yield replace(drawn, **planted.changes)
 
 
@@ -375,7 +378,7 @@
     """After how many runs it was found, and all names that were found on the way."""
     seen: dict[str, None] = {}
     for count, plan in enumerate(plans(planted), 1):
-        played: Played = play(plan)
+        played: PlayResult = play(plan)
         seen.update(dict.fromkeys(played.names))
         if not set(planted.names).isdisjoint(played.names):
             return count, list(seen)
