--- a/badgeryoke/testbed/cluster_benchmark.py
+++ b/badgeryoke/testbed/cluster_benchmark.py
@@ -44,8 +44,8 @@
 from badgeryoke.gateway.cluster.settings import ClusterSettings, MemberEntry, Servers
 from badgeryoke.testbed.cluster_simulation.fault_plan import Plan
 from badgeryoke.testbed.cluster_simulation.generated_plans import play_seed
-from badgeryoke.testbed.cluster_simulation.world import FleetWorld
-from badgeryoke.testbed.emulator.resp import words
+from badgeryoke.testbed.cluster_simulation.world import SimulatedCluster
+from badgeryoke.testbed.emulator.resp import encode_command
 from badgeryoke.testbed.emulator.run import Stage as ScenarioRun
 from badgeryoke.testbed.report.result import DEADLINE_MS
 from badgeryoke.testbed.scenario.model import PlanText, Scenario
@@ -318,12 +318,12 @@
 def measure_messages() -> None:
     """Count the messages of an idle cluster in 5 s of simulated time, 20 s after its start."""
     for members in (3, 40, 200):
-        world = FleetWorld(Plan(seed=1, members=members, halls=2, length_ms=25_000.0))
+        world = SimulatedCluster(Plan(seed=1, members=members, halls=2, length_ms=25_000.0))
         for name in world.machines:
             world.start(name)
-        world.calendar.run(20_000.0)
+        world.event_queue.run(20_000.0)
         before = dict(world.network.messages)
-        world.calendar.run(25_000.0)
+        world.event_queue.run(25_000.0)
         sent = sorted((many - before.get(name, 0)) / 5.0 for name, many in world.network.messages.items())
         founded = sum(
             machine.node is not None and machine.node.bootstrap.record is not None
@@ -385,10 +385,10 @@
 
     for at in range(int(rate * seconds)):
         await asyncio.sleep(max(started_at + at / rate - loop.time(), 0.0))
-        stage._rids += 1
+        stage._requests_sent += 1
         out[0] += 1
         fields = f"c=balance-check,t=dealer,d={DEADLINE_MS:.0f},units=1,spread=1,first=0".encode()
-        if not stage._doors[0].ask(words(b"SVC.QUERY", b"%016x" % 1, b"%016x" % stage._rids, fields), done):
+        if not stage._pools[0].submit(encode_command(b"SVC.QUERY", b"%016x" % 1, b"%016x" % stage._requests_sent, fields), done):
             done("refused", 0.0)
     while out[0]:
         await asyncio.sleep(0.005)
--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -94,11 +94,11 @@
     Example:
         badgeryoke lab run counter-split --to results/split --json
     """
-    from badgeryoke.testbed.emulator.cluster import unplayable
-    from badgeryoke.testbed.emulator.run import Stage
+    from badgeryoke.testbed.emulator.cluster import unsupported_reason
+    from badgeryoke.testbed.emulator.run import EmulatedRun
 
     parsed, source = _load(scenario)
-    if problem := unplayable(parsed):
+    if problem := unsupported_reason(parsed):
         click.echo(f"{scenario}: {problem}", err=True)
         sys.exit(UNUSABLE)
     if watch is not None:
@@ -109,13 +109,13 @@
         def on_event(event: dict[str, Any]) -> None:
             progress.update(task, completed=event["at_ms"])
 
-        stage = Stage(parsed, seed, to / "gateways" if to else None, on_event)
+        stage = EmulatedRun(parsed, seed, to / "gateways" if to else None, on_event)
         try:
             result = asyncio.run(stage.play())
         except (RuntimeError, OSError) as error:
             click.echo(f"{scenario}: {error}", err=True)
             sys.exit(FAILED)
-    fleet = stage.fleet_figures()
+    fleet = stage.cluster_figures()
     figures = {**result.figures(), **stage.extra_figures(), **fleet.to_dict(), "kind": "sockets"}
     if to is not None:
         write_folder(to, parsed, source, [result], figures, stage.events)
@@ -343,7 +343,7 @@
     Example:
         badgeryoke demo --seconds 20
     """
-    from badgeryoke.testbed.emulator.run import Stage
+    from badgeryoke.testbed.emulator.run import EmulatedRun
 
     parsed, _ = _load("demo")
     parsed = replace(parsed, length_ms=seconds * 1000.0 if seconds > 0 else 24 * 3_600_000.0)
@@ -351,7 +351,7 @@
     with Live(console=console, refresh_per_second=4, screen=False) as live:
         if as_json:
             live.stop()
-        stage = Stage(parsed, 1, None, _event_painter(live, as_json))
+        stage = EmulatedRun(parsed, 1, None, _event_painter(live, as_json))
         if not as_json:
             console.print(
                 "badgeryoke demo: one real gateway on loopback, everything around it emulated. "
@@ -381,7 +381,7 @@
     loop = asyncio.get_running_loop()
 
     def stop() -> None:
-        stage.asking = False
+        stage.clients_running = False
 
     loop.add_signal_handler(signal.SIGINT, stop)
     result: Result = await stage.play()
--- a/badgeryoke/testbed/seed_sweep.py
+++ b/badgeryoke/testbed/seed_sweep.py
@@ -22,8 +22,8 @@
 from pathlib import Path
 from typing import Any
 
-from badgeryoke.testbed.emulator.cluster import unplayable
-from badgeryoke.testbed.emulator.run import Stage
+from badgeryoke.testbed.emulator.cluster import unsupported_reason
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.cluster_figures import worst_and_median
 from badgeryoke.testbed.report.write import commit
 from badgeryoke.testbed.scenario.parser import load
@@ -56,12 +56,12 @@
             def on_event(event: dict[str, Any]) -> None:
                 events.write(json.dumps(event, sort_keys=True) + "\n")
 
-        stage = Stage(scenario, seed, folder, on_event)
+        stage = EmulatedRun(scenario, seed, folder, on_event)
         try:
             asyncio.run(stage.play())
         except (RuntimeError, OSError) as error:
             row["fault"] = str(error)[:500]
-    figures = stage.fleet_figures()
+    figures = stage.cluster_figures()
     row |= {
         "figures": figures.to_dict(),
         "bad": figures.violations(),
@@ -129,7 +129,7 @@
     except (TextError, OSError) as error:
         print(f"{options.scenario}: {error}", file=sys.stderr)
         return 2
-    if problem := unplayable(scenario):
+    if problem := unsupported_reason(scenario):
         print(f"{options.scenario}: {problem}", file=sys.stderr)
         return 2
     rows = []
--- a/tests/testbed/test_cluster_simulation.py
+++ b/tests/testbed/test_cluster_simulation.py
@@ -22,9 +22,9 @@
 from badgeryoke.testbed.checkers.history_checker import Operation, check_history, is_linearizable
 from badgeryoke.testbed.cluster_simulation.clock import Clock
 from badgeryoke.testbed.cluster_simulation.disk import Disk
-from badgeryoke.testbed.cluster_simulation.fault_plan import KINDS, Plan, draw
+from badgeryoke.testbed.cluster_simulation.fault_plan import KINDS, Plan, generate_plan
 from badgeryoke.testbed.cluster_simulation.generated_plans import play, play_seed, shrink
-from badgeryoke.testbed.cluster_simulation.network import Calendar, Network
+from badgeryoke.testbed.cluster_simulation.network import EventQueue, Network
 from badgeryoke.testbed.scenario.model import Fault
 
 
@@ -92,9 +92,9 @@
 
 
 def test_links_keep_order_until_a_reset_and_a_cut_is_directed() -> None:
-    calendar, delivered = Calendar(), list[tuple[str, str, int]]()
+    event_queue, delivered = EventQueue(), list[tuple[str, str, int]]()
     network = Network(
-        calendar, Random(1), lambda sender, to, message: delivered.append((sender, to, message))
+        event_queue, Random(1), lambda sender, to, message: delivered.append((sender, to, message))
     )
 
     def exchange(first: int, count: int) -> list[int]:
@@ -102,7 +102,7 @@
         for number in range(first, first + count):
             network.send("a", "b", number, ())
             network.send("b", "a", -number, ())
-        calendar.run(calendar.now + 1000.0)
+        event_queue.run(event_queue.now + 1000.0)
         return [message for _, to, message in delivered if to == "b"]
 
     assert exchange(0, 50) == list(range(50))
@@ -120,18 +120,18 @@
 
 
 def test_a_narrow_link_delays_messages_by_their_size() -> None:
-    calendar, delivered = Calendar(), list[float]()
-    network = Network(calendar, Random(1), lambda *_: delivered.append(calendar.now))
+    event_queue, delivered = EventQueue(), list[float]()
+    network = Network(event_queue, Random(1), lambda *_: delivered.append(event_queue.now))
     network.narrow["a", "b"] = 1.0
     for _ in range(3):
         network.send("a", "b", None, ())
-    calendar.run(1000.0)
+    event_queue.run(1000.0)
     assert [round(at_ms / 60.0) for at_ms in delivered] == [1, 2, 3]
 
 
 def test_a_clock_drifts_and_a_step_takes_effect_at_the_next_start() -> None:
     clock = Clock(1.01, 500.0)
-    assert clock.true(clock.now(1234.0)) == pytest.approx(1234.0)
+    assert clock.true_time(clock.now(1234.0)) == pytest.approx(1234.0)
     clock.start(0.0)
     before = clock.wall(clock.now(1000.0))
     clock.step(-30_000.0)
@@ -144,12 +144,12 @@
     """A simulated disk with the events that it reported."""
 
     def __init__(self, seed: int = 1) -> None:
-        self.calendar, self.events = Calendar(), list[NodeEvent]()
-        self.disk = Disk(self.calendar, Random(seed), lambda life, event: self.events.append(event))
+        self.event_queue, self.events = EventQueue(), list[NodeEvent]()
+        self.disk = Disk(self.event_queue, Random(seed), lambda life, event: self.events.append(event))
         self.disk.start(1)
 
     def put(self, seq: int, *records: Any) -> None:
-        self.disk.put(PersistRecords("a", seq, records))
+        self.disk.persist(PersistRecords("a", seq, records))
 
 
 def make_entries(first: int, last: int, term: int) -> Entries:
@@ -160,12 +160,12 @@
     harness = DiskHarness()
     harness.put(1, HardState(3, "x/1"), make_entries(1, 4, 3))
     assert harness.events == [] and not harness.disk.groups
-    harness.calendar.run(10.0)
+    harness.event_queue.run(10.0)
     assert harness.events == [RecordsPersisted("a", 1)]
     harness.put(2, make_entries(3, 3, 4))
     harness.put(3, make_entries(4, 9, 4))  # waits for the fsync in progress, so a crash always loses it
     harness.disk.crash()
-    harness.calendar.run(100.0)
+    harness.event_queue.run(100.0)
     saved = harness.disk.start(2)["a"]
     assert harness.events == [RecordsPersisted("a", 1)] and (saved.current_term, saved.voted_for) == (
         3,
@@ -177,18 +177,18 @@
 def test_a_snapshot_replaces_entries_and_keeps_only_those_that_follow_it() -> None:
     harness = DiskHarness()
     harness.put(1, make_entries(1, 6, 2), Snapshot(4, 2, GroupConfiguration(("a/1",)), b"x"))
-    harness.calendar.run(10.0)
+    harness.event_queue.run(10.0)
     assert [entry.index for entry in harness.disk.groups["a"].entries] == [5, 6]
     harness.put(2, Snapshot(5, 3, GroupConfiguration(("a/1",)), b"y"))
-    harness.calendar.run(20.0)
-    assert harness.disk.groups["a"].entries == [] and harness.disk.groups["a"].last == 5
+    harness.event_queue.run(20.0)
+    assert harness.disk.groups["a"].entries == [] and harness.disk.groups["a"].last_index == 5
 
 
 def test_a_full_disk_reports_failure_and_a_wiped_one_gets_a_new_incarnation() -> None:
     harness = DiskHarness()
     harness.disk.full = True
     harness.put(1, HardState(1, ""))
-    harness.calendar.run(10.0)
+    harness.event_queue.run(10.0)
     assert isinstance(harness.events[0], StorageFailure) and harness.events[0].error.code == "store-failed"
     before = harness.disk.incarnation
     harness.disk.wipe()
@@ -202,12 +202,12 @@
 
 
 def test_the_same_seed_gives_the_same_result() -> None:
-    first, again = (play(replace(draw(6), length_ms=6000.0)) for _ in range(2))
+    first, again = (play(replace(generate_plan(6), length_ms=6000.0)) for _ in range(2))
     assert first.plain() == again.plain() and (first.figures.promises_acknowledged or 0) > 30
 
 
 def test_a_failing_plan_is_shrunk_and_can_be_written_as_code(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(GroupConfiguration, "majority", lambda self: max(len(self.voters) // 2, 1))
-    shrunk = shrink(replace(draw(5, 3), length_ms=6000.0), most=25)
+    shrunk = shrink(replace(generate_plan(5, 3), length_ms=6000.0), max_plays=25)
     assert shrunk.names and len(shrunk.plan.faults) <= 1
     assert eval(shrunk.plan.text(), {"Plan": Plan, "Fault": Fault}) == shrunk.plan
--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from badgeryoke.testbed.emulator.cluster import FleetStage, unplayable
-from badgeryoke.testbed.emulator.faulty_links import Links
-from badgeryoke.testbed.emulator.key_value_load import NOBODY, UNKNOWN, Book, read_answer
-from badgeryoke.testbed.emulator.run import Stage
+from badgeryoke.testbed.emulator.cluster import EmulatedCluster, unsupported_reason
+from badgeryoke.testbed.emulator.faulty_links import FaultyLinks
+from badgeryoke.testbed.emulator.key_value_load import NOT_LISTENING, UNKNOWN_OUTCOME, WriteLedger, read_answer
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.scenario.model import Fault
 from badgeryoke.testbed.scenario.parser import load, parse
 from badgeryoke.testbed.scenario.sexpr import TextError
@@ -137,14 +137,14 @@
 
 @asynccontextmanager
 async def connected_gateways() -> AsyncIterator[
-    tuple[Links, asyncio.StreamReader, asyncio.StreamWriter, asyncio.StreamReader, asyncio.StreamWriter]
+    tuple[FaultyLinks, asyncio.StreamReader, asyncio.StreamWriter, asyncio.StreamReader, asyncio.StreamWriter]
 ]:
     """A connection from gateway 0 to gateway 1: the links and the streams of both ends."""
     accepted: asyncio.Queue[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = asyncio.Queue()
     server = await asyncio.start_server(
         lambda reader, writer: accepted.put_nowait((reader, writer)), "127.0.0.1", 0
     )
-    links = Links(2, random.Random(1))
+    links = FaultyLinks(2, random.Random(1))
     links.targets = {1: server.sockets[0].getsockname(), 0: ("127.0.0.1", 1)}
     await links.listen()
     client = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
@@ -180,11 +180,11 @@
             server_reader,
             server_writer,
         ):
-            links.happen(link_fault("cut", mode="one-way"))
+            links.inject_fault(link_fault("cut", mode="one-way"))
             client_writer.write(b"lost")
             server_writer.write(b"heard")
             assert await client_reader.readexactly(5) == b"heard"
-            while links.ways[0, 1].lost < 4:
+            while links.directions[0, 1].dropped_bytes < 4:
                 await asyncio.sleep(0.001)
             links.mend()
             # nothing is forwarded after the lost bytes
@@ -202,15 +202,15 @@
             server_reader,
             server_writer,
         ):
-            links.happen(link_fault("cut"))
+            links.inject_fault(link_fault("cut"))
             client_writer.write_eof()
             _, second_writer = await asyncio.open_connection("127.0.0.1", links.ports[0, 1])
             second_writer.write(b"anyone?")
-            while links.ways[0, 1].lost < 7:
+            while links.directions[0, 1].dropped_bytes < 7:
                 await asyncio.sleep(0.001)
-            assert len(links.open) == 2 and not server_reader.at_eof() and not server_writer.is_closing()
+            assert len(links.connections) == 2 and not server_reader.at_eof() and not server_writer.is_closing()
             links.mend()
-            assert await server_reader.read() == b"" and not links.open
+            assert await server_reader.read() == b"" and not links.connections
             second_writer.transport.abort()
 
     run_with_timeout(test)
@@ -226,14 +226,14 @@
             _server_writer,
         ):
             loop = asyncio.get_running_loop()
-            links.happen(link_fault("delay", 60.0))
+            links.inject_fault(link_fault("delay", 60.0))
             started_s = loop.time()
             client_writer.write(b"first")
             await client_writer.drain()
             client_writer.write(b"second")
             assert await server_reader.readexactly(11) == b"firstsecond"
             assert loop.time() - started_s >= 0.059
-            links.happen(link_fault("reset", 50.0))
+            links.inject_fault(link_fault("reset", 50.0))
             with pytest.raises(ConnectionResetError):
                 await client_reader.read()
 
@@ -249,7 +249,7 @@
             server_reader,
             _server_writer,
         ):
-            links.happen(link_fault("narrow", 2000.0))  # 2 MB a second
+            links.inject_fault(link_fault("narrow", 2000.0))  # 2 MB a second
             client_writer.write(b"x" * 300_000)
             started_s = asyncio.get_running_loop().time()
             assert len(await server_reader.readexactly(300_000)) == 300_000
@@ -272,7 +272,7 @@
             assert await server_reader.read() == b"bye"
             server_writer.close()
             await client_reader.read()
-            while links.open:
+            while links.connections:
                 await asyncio.sleep(0.001)
 
     run_with_timeout(test)
@@ -282,22 +282,22 @@
 
 
 def test_acknowledged_lost_and_duplicated_writes_are_counted() -> None:
-    book = Book()
+    book = WriteLedger()
     for name in ("a", "b", "c", "d"):
-        book.began(0.0, name)
-    book.ended(10.0, "a", "1", (None, ""))
-    book.ended(30.0, "b", "2", ("2", ""))  # the replaced value is its own: the write was applied twice
-    book.ended(40.0, "c", "3", (None, UNKNOWN))
-    book.ended(50.0, "d", "4", (None, "no-room"))
-    book.began(100.0, "e")
-    book.began(120.0, "f")
-    book.ended(700.0, "f", "6", (None, ""))
-    book.excuse(1700.0)
+        book.write_started(0.0, name)
+    book.write_ended(10.0, "a", "1", (None, ""))
+    book.write_ended(30.0, "b", "2", ("2", ""))  # the replaced value is its own: the write was applied twice
+    book.write_ended(40.0, "c", "3", (None, UNKNOWN_OUTCOME))
+    book.write_ended(50.0, "d", "4", (None, "no-room"))
+    book.write_started(100.0, "e")
+    book.write_started(120.0, "f")
+    book.write_ended(700.0, "f", "6", (None, ""))
+    book.restart_unavailability(1700.0)
     book.finish(1800.0)
-    assert (book.longest_ms, book.longest_at) == (600.0, 100.0)
-    for name, answer in (("a", ("1", "")), ("b", (None, "")), ("f", (None, UNKNOWN))):
+    assert (book.longest_unavailable_ms, book.longest_unavailable_at_ms) == (600.0, 100.0)
+    for name, answer in (("a", ("1", "")), ("b", (None, "")), ("f", (None, UNKNOWN_OUTCOME))):
         book.read(name, answer)
-    assert (book.twice, book.lost, book.unread, book.unknown) == ({"b"}, {"b"}, {"f"}, {"c"})
+    assert (book.applied_twice, book.lost, book.unreadable, book.unknown) == ({"b"}, {"b"}, {"f"}, {"c"})
     assert book.refused == {"no-room": 1} and len(book.acknowledged) == 3
 
 
@@ -306,17 +306,17 @@
     [
         (b'+OK {"a": 1}\n', ({"a": 1}, "")),
         (b"+OK\n", (None, "")),
-        (b"", (None, UNKNOWN)),
+        (b"", (None, UNKNOWN_OUTCOME)),
         (b'-ERR {"error": "no-leader", "whom": "x"}\n', (None, "no-leader")),
         (b"-ERR unknown call; known are STATUS\n", (None, "unknown call; known are STATUS")),
     ],
 )
 def test_responses_of_the_management_socket_are_parsed(received: bytes, answer: object) -> None:
-    assert read_answer(received) == answer and NOBODY != UNKNOWN
+    assert read_answer(received) == answer and NOT_LISTENING != UNKNOWN_OUTCOME
 
 
 def test_a_fault_that_needs_privileges_is_reported_with_its_line() -> None:
-    assert unplayable(load("fleet-step")[0]).startswith("line 6: step") and not unplayable(
+    assert unsupported_reason(load("fleet-step")[0]).startswith("line 6: step") and not unsupported_reason(
         load("fleet-calm")[0]
     )
 
@@ -325,10 +325,10 @@
     text = parse(
         f"""(scenario a {FLEET} {LOAD} (contract c (customers 1) (rate 4/s) (burst 4u) (from 1s) (to 3s)))"""
     )
-    fleet = FleetStage(
+    fleet = EmulatedCluster(
         text, random.Random(1), lambda: 0.0, lambda *args, **fields: None, [("127.0.0.1", 1)] * 5, []
     )
-    fleet._contract_of = {7: text.contracts[0]}
+    fleet._contract_by_customer = {7: text.contracts[0]}
     now = 0.0
     fleet._clock = lambda: now
     for now, kind in (
@@ -339,34 +339,34 @@
         (2000.0, "served"),
         (2001.0, "served"),
     ):
-        fleet.asked(7, now, 2.0, 0)(kind)
-    assert fleet.floor() is None and fleet.shortfall_error() is None  # the contract is not admitted
+        fleet.attempt_started(7, now, 2.0, 0)(kind)
+    assert fleet.guaranteed_fraction() is None and fleet.shortfall_error() is None  # the contract is not admitted
     fleet.contracts["c"] = {"admitted": True}
-    assert fleet.floor() == 0.5
-    fleet._told_short = {"c": 3.0}
+    assert fleet.guaranteed_fraction() == 0.5
+    fleet._reported_short = {"c": 3.0}
     assert fleet.shortfall_error() == pytest.approx(
         1.0 / 2.008, rel=0.01
     )  # 2 of the 12 requested units were short
     for other in range(1, 5):
-        fleet.links.ways[0, other].cut = True
-    fleet.asked(7, 2500.0, 4.0, 0)("refused")  # at a partitioned gateway: counts as short, not for the floor
-    assert fleet.floor() == 0.5 and fleet._books["c"].units_short() > 3.9
+        fleet.links.directions[0, other].cut = True
+    fleet.attempt_started(7, 2500.0, 4.0, 0)("refused")  # at a partitioned gateway: counts as short, not for the floor
+    assert fleet.guaranteed_fraction() == 0.5 and fleet._contract_ledgers["c"].units_short() > 3.9
 
 
 # Gateway processes --------------------------------------------------------------------------------------
 
 
 @asynccontextmanager
-async def running_cluster(gateways: int, folder: Path) -> AsyncIterator[tuple[Stage, FleetStage]]:
+async def running_cluster(gateways: int, folder: Path) -> AsyncIterator[tuple[EmulatedRun, EmulatedCluster]]:
     """Run a bootstrapped cluster of gateway processes under key-value writes; none may be lost at the end."""
-    stage = Stage(
+    stage = EmulatedRun(
         parse(f"(scenario short (gateways {gateways} (fleet on)) (servers 1) (proposals 30/s))"), 1, folder
     )
     try:
         await stage.open()
-        fleet = stage.fleet
+        fleet = stage.cluster
         assert fleet is not None
-        fleet.begin({})
+        fleet.start({})
         yield stage, fleet
         await fleet.finish()
         figures = fleet.figures([])
@@ -381,28 +381,28 @@
             1,
             0,
         )
-        assert figures.promises_acknowledged == len(fleet.book.acknowledged) > 0
+        assert figures.promises_acknowledged == len(fleet.ledger.acknowledged) > 0
     finally:
         await stage.close()
 
 
-async def await_writes(fleet: FleetStage, count: int = 15) -> None:
+async def await_writes(fleet: EmulatedCluster, count: int = 15) -> None:
     """Wait until `count` further writes are acknowledged."""
-    target = len(fleet.book.acknowledged) + count
-    assert await fleet.until(lambda: len(fleet.book.acknowledged) >= target, 30.0), fleet.book.figures()
+    target = len(fleet.ledger.acknowledged) + count
+    assert await fleet.wait_until(lambda: len(fleet.ledger.acknowledged) >= target, 30.0), fleet.ledger.figures()
 
 
 def test_a_lost_machine_loses_no_write_and_returns_with_a_new_incarnation(tmp_path: Path) -> None:
     async def test() -> None:
         async with running_cluster(3, tmp_path) as (stage, fleet):
             await await_writes(fleet)
-            before = {status["me"] for status in fleet.seen.values()}
-            lost = fleet.seen[0]["me"]
-            await stage.happen(Fault(0.0, "lose", "gateway", ((1,),)))
+            before = {status["me"] for status in fleet.statuses.values()}
+            lost = fleet.statuses[0]["me"]
+            await stage.inject_fault(Fault(0.0, "lose", "gateway", ((1,),)))
             await await_writes(fleet)  # two of three members are a majority
-            await stage.happen(Fault(0.0, "start", "gateway", ((1,),)))
-            assert await fleet.until(fleet.whole, 30.0)
-            after = {status["me"] for status in fleet.seen.values()}
+            await stage.inject_fault(Fault(0.0, "start", "gateway", ((1,),)))
+            assert await fleet.wait_until(fleet.replicas_complete, 30.0)
+            after = {status["me"] for status in fleet.statuses.values()}
             assert before - after == {lost} and len(after) == 3  # under a new incarnation
             await await_writes(fleet)
 
@@ -413,14 +413,14 @@
     async def test() -> None:
         async with running_cluster(5, tmp_path) as (stage, fleet):
             await await_writes(fleet)
-            await stage.happen(Fault(0.0, "cut", "gateways", ((1, 2), (3, 4, 5))))
+            await stage.inject_fault(Fault(0.0, "cut", "gateways", ((1, 2), (3, 4, 5))))
             await await_writes(fleet, 30)
-            await stage.happen(Fault(0.0, "mend", "gateways"))
-            await stage.happen(Fault(0.0, "freeze", "gateway", ((4,),)))
+            await stage.inject_fault(Fault(0.0, "mend", "gateways"))
+            await stage.inject_fault(Fault(0.0, "freeze", "gateway", ((4,),)))
             await await_writes(fleet, 30)
-            await stage.happen(Fault(0.0, "thaw", "gateway", ((4,),)))
-            assert await fleet.until(fleet.whole, 30.0)
-            assert set(fleet.seen) == set(range(5))
+            await stage.inject_fault(Fault(0.0, "thaw", "gateway", ((4,),)))
+            assert await fleet.wait_until(fleet.replicas_complete, 30.0)
+            assert set(fleet.statuses) == set(range(5))
 
     run_with_timeout(test, 90.0)
 
@@ -430,16 +430,16 @@
         text = parse("""(scenario rolls (length 1s) (gateways 3 (fleet on)) (servers 2 (work 5ms..15ms) (connections 4))
             (plan p (rate 20/s) (burst 40u)) (customers 3 (plan p) (spread 3) (demand 0.5x)) (proposals 10/s)
             (roll all (from 0s)))""")
-        stage = Stage(text, 1, tmp_path)
+        stage = EmulatedRun(text, 1, tmp_path)
         await stage.play()  # clients send requests until the rolling restart is complete
-        figures = stage.fleet_figures()
+        figures = stage.cluster_figures()
         assert (figures.roll_state, figures.roll_lost, figures.connections_over, figures.violations()) == (
             "done",
             0,
             0,
             [],
         )
-        assert stage.fleet is not None and stage.fleet.rolls[0]["restarts"] == 3
-        assert stage.counts["served"] > 0 and max(server.most_open for server in stage._servers) > 0
+        assert stage.cluster is not None and stage.cluster.rolling_restarts[0]["restarts"] == 3
+        assert stage.counts["served"] > 0 and max(server.max_open_connections for server in stage._servers) > 0
 
     run_with_timeout(test, 110.0)
--- a/tests/testbed/test_planted_faults.py
+++ b/tests/testbed/test_planted_faults.py
@@ -22,8 +22,8 @@
 from badgeryoke.cluster.rolling_restart.waves import RollingRestarts
 from badgeryoke.cluster.timings import Timings
 from badgeryoke.testbed.cluster_simulation.disk import Disk
-from badgeryoke.testbed.cluster_simulation.fault_plan import Plan, draw
-from badgeryoke.testbed.cluster_simulation.generated_plans import Played, play
+from badgeryoke.testbed.cluster_simulation.fault_plan import Plan, generate_plan
+from badgeryoke.testbed.cluster_simulation.generated_plans import PlayResult, play
 from badgeryoke.testbed.scenario.model import ContractText, Fault, RollText
 
 Patch = Callable[[pytest.MonkeyPatch], None]
@@ -73,8 +73,8 @@
     """The vote is lost at a restart."""
     original = Disk.start
 
-    def start(self: Disk, life: int) -> dict[str, PersistedGroup]:
-        return {name: replace(saved, voted_for="") for name, saved in original(self, life).items()}
+    def start(self: Disk, process_number: int) -> dict[str, PersistedGroup]:
+        return {name: replace(saved, voted_for="") for name, saved in original(self, process_number).items()}
 
     patch.setattr(Disk, "start", start)
 
@@ -83,10 +83,10 @@
     """Term and vote are lost at a restart."""
     original = Disk.start
 
-    def start(self: Disk, life: int) -> dict[str, PersistedGroup]:
+    def start(self: Disk, process_number: int) -> dict[str, PersistedGroup]:
         return {
             name: replace(saved, current_term=saved.entries[-1].term if saved.entries else 0, voted_for="")
-            for name, saved in original(self, life).items()
+            for name, saved in original(self, process_number).items()
         }
 
     patch.setattr(Disk, "start", start)
@@ -96,19 +96,19 @@
     """The disk reports a write as persisted when it has only begun."""
 
     def sync(self: Disk) -> None:
-        self._under_way, self._asked = self._asked, []
-        for store in self._under_way:
-            self._calendar.at(
-                self._calendar.now, self._tell, self._life, RecordsPersisted(store.group, store.sequence)
+        self._syncing, self._queued = self._queued, []
+        for store in self._syncing:
+            self._event_queue.schedule(
+                self._event_queue.now, self._notify, self._process_number, RecordsPersisted(store.group, store.sequence)
             )
-        self._calendar.at(self._calendar.now + 30.0, self._quietly, self._life)  # type: ignore[attr-defined]
+        self._event_queue.schedule(self._event_queue.now + 30.0, self._quietly, self._process_number)  # type: ignore[attr-defined]
 
-    def finish_without_report(self: Disk, life: int) -> None:
-        if life == self._life:
-            for store in self._under_way:
+    def finish_without_report(self: Disk, process_number: int) -> None:
+        if process_number == self._process_number:
+            for store in self._syncing:
                 self._write(store)
-            self._under_way = []
-            if self._asked:
+            self._syncing = []
+            if self._queued:
                 self._sync()
 
     patch.setattr(Disk, "_sync", sync)
@@ -388,7 +388,7 @@
     for seed in range(1, planted.seeds + 1):
         for kind in planted.kinds:
             own = {"rapid_restarts": rapid_restarts, "frozen": frozen, "lost_machine": lost_machine}.get(kind)
-            plan = own(seed) if own is not None else draw(seed, planted.members, kind)
+            plan = own(seed) if own is not None else generate_plan(seed, planted.members, kind)
             yield replace(plan, **planted.changes)
 
 
@@ -396,7 +396,7 @@
     """The number of runs until the fault was found, 0 if it was not, and the names of all findings."""
     seen: dict[str, None] = {}
     for count, plan in enumerate(plans(planted), 1):
-        played: Played = play(plan)
+        played: PlayResult = play(plan)
         seen.update(dict.fromkeys(played.names))
         if not set(planted.names).isdisjoint(played.names):
             return count, list(seen)
--- a/tests/testbed/test_scenarios.py
+++ b/tests/testbed/test_scenarios.py
@@ -12,9 +12,9 @@
 
 from badgeryoke.testbed.checkers.quota_checker import QuotaChecker
 from badgeryoke.testbed.commands import resize, summary
-from badgeryoke.testbed.emulator.clients import Door
-from badgeryoke.testbed.emulator.resp import _value
-from badgeryoke.testbed.emulator.run import Stage
+from badgeryoke.testbed.emulator.clients import ClientPool
+from badgeryoke.testbed.emulator.resp import _parse_value
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.result import within_error_bounds
 from badgeryoke.testbed.report.write import compare_folders, write_folder
 from badgeryoke.testbed.scenario.model import Fault, PlanText, Scenario
@@ -133,8 +133,8 @@
     ],
 )
 def test_the_emulators_resp_parser(data: bytes, value: object) -> None:
-    assert _value(data, 0) == (value, len(data))
-    assert all(_value(data[:cut], 0) is None for cut in range(len(data)))
+    assert _parse_value(data, 0) == (value, len(data))
+    assert all(_parse_value(data[:cut], 0) is None for cut in range(len(data)))
 
 
 def test_a_split_includes_all_gateways_after_a_resize() -> None:
@@ -164,7 +164,7 @@
     """One gateway process with counter health checks on: each request gets one response, and the gateway logs the
     detected state of the counter."""
     text = replace(load("demo")[0], length_ms=1500.0, gateways=1, started=1)
-    stage = Stage(text, 1, tmp_path)
+    stage = EmulatedRun(text, 1, tmp_path)
     result = asyncio.run(stage.play())
     assert result.verdict.tries > 10 and stage.counts["served"] > 10
     assert result.verdict.unanswered == result.verdict.twice_answered == 0
@@ -175,9 +175,9 @@
 def test_a_request_to_a_closed_port_is_lost() -> None:
     async def send_request() -> list[str]:
         outcomes: list[str] = []
-        door = Door(("127.0.0.1", 1))
+        door = ClientPool(("127.0.0.1", 1))
         door.up = True
-        assert door.ask(b"x", lambda kind, wait: outcomes.append(kind))
+        assert door.submit(b"x", lambda kind, wait: outcomes.append(kind))
         for _ in range(50):
             await asyncio.sleep(0.01)
             if outcomes:
