--- a/badgeryoke/testbed/cluster_benchmark.py
+++ b/badgeryoke/testbed/cluster_benchmark.py
@@ -46,7 +46,7 @@
 from badgeryoke.testbed.cluster_simulation.generated_plans import play_seed
 from badgeryoke.testbed.cluster_simulation.world import SimulatedCluster
 from badgeryoke.testbed.emulator.resp import encode_command
-from badgeryoke.testbed.emulator.run import Stage as ScenarioRun
+from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.report.result import DEADLINE_MS
 from badgeryoke.testbed.scenario.model import PlanText, Scenario
 
@@ -361,7 +361,7 @@
     )
 
 
-def _cpu(stage: ScenarioRun) -> float:
+def _cpu(stage: EmulatedRun) -> float:
     """CPU seconds of the first gateway, all threads."""
     process = stage._gateways[0].process
     assert process is not None
@@ -374,7 +374,7 @@
     )
 
 
-async def _send_requests(stage: ScenarioRun, rate: float, seconds: float) -> dict[str, int]:
+async def _send_requests(stage: EmulatedRun, rate: float, seconds: float) -> dict[str, int]:
     """Send requests to the first gateway at a constant rate; returns the number of each outcome."""
     loop, counts, out = asyncio.get_running_loop(), dict[str, int](), [0]
     started_at = loop.time()
@@ -388,7 +388,9 @@
         stage._requests_sent += 1
         out[0] += 1
         fields = f"c=balance-check,t=dealer,d={DEADLINE_MS:.0f},units=1,spread=1,first=0".encode()
-        if not stage._pools[0].submit(encode_command(b"SVC.QUERY", b"%016x" % 1, b"%016x" % stage._requests_sent, fields), done):
+        if not stage._pools[0].submit(
+            encode_command(b"SVC.QUERY", b"%016x" % 1, b"%016x" % stage._requests_sent, fields), done
+        ):
             done("refused", 0.0)
     while out[0]:
         await asyncio.sleep(0.005)
@@ -409,8 +411,8 @@
         counter_calls=1e5,
     )
     stages = {
-        "off": ScenarioRun(base, 1),
-        "on": ScenarioRun(
+        "off": EmulatedRun(base, 1),
+        "on": EmulatedRun(
             replace(base, gateways=members, started=members, fleet=True, halls=2, connections=24), 1
         ),
     }
--- a/badgeryoke/testbed/emulator/cluster.py
+++ b/badgeryoke/testbed/emulator/cluster.py
@@ -560,7 +560,7 @@
                     drawn = sum(
                         units for (contract, _), units in self._drawn_units.items() if contract == name
                     )
-                    due = sum(due for due, _ in ledger.times)
+                    due = sum(due for due, _ in ledger.busy_periods)
                     without_lease = report["short"].get("no lease", 0.0)
                     self.contracts[name].update(
                         lacked_error=round(
@@ -580,7 +580,7 @@
                         drawn=round(drawn, 1),
                         short=round(ledger.units_short(), 2),
                         due=round(due, 1),
-                        served=round(sum(served for _, served in ledger.times), 1),
+                        served=round(sum(served for _, served in ledger.busy_periods), 1),
                     )
         await self.client.read_back(READ_BACK_S + READ_BACK_EACH_S * len(self.ledger.acknowledged))
 
--- a/tests/testbed/test_emulator_cluster.py
+++ b/tests/testbed/test_emulator_cluster.py
@@ -13,7 +13,12 @@
 
 from badgeryoke.testbed.emulator.cluster import EmulatedCluster, unsupported_reason
 from badgeryoke.testbed.emulator.faulty_links import FaultyLinks
-from badgeryoke.testbed.emulator.key_value_load import NOT_LISTENING, UNKNOWN_OUTCOME, WriteLedger, read_answer
+from badgeryoke.testbed.emulator.key_value_load import (
+    NOT_LISTENING,
+    UNKNOWN_OUTCOME,
+    WriteLedger,
+    read_answer,
+)
 from badgeryoke.testbed.emulator.run import EmulatedRun
 from badgeryoke.testbed.scenario.model import Fault
 from badgeryoke.testbed.scenario.parser import load, parse
@@ -208,7 +213,9 @@
             second_writer.write(b"anyone?")
             while links.directions[0, 1].dropped_bytes < 7:
                 await asyncio.sleep(0.001)
-            assert len(links.connections) == 2 and not server_reader.at_eof() and not server_writer.is_closing()
+            assert (
+                len(links.connections) == 2 and not server_reader.at_eof() and not server_writer.is_closing()
+            )
             links.mend()
             assert await server_reader.read() == b"" and not links.connections
             second_writer.transport.abort()
@@ -340,7 +347,9 @@
         (2001.0, "served"),
     ):
         fleet.attempt_started(7, now, 2.0, 0)(kind)
-    assert fleet.guaranteed_fraction() is None and fleet.shortfall_error() is None  # the contract is not admitted
+    assert (
+        fleet.guaranteed_fraction() is None and fleet.shortfall_error() is None
+    )  # the contract is not admitted
     fleet.contracts["c"] = {"admitted": True}
     assert fleet.guaranteed_fraction() == 0.5
     fleet._reported_short = {"c": 3.0}
@@ -349,7 +358,9 @@
     )  # 2 of the 12 requested units were short
     for other in range(1, 5):
         fleet.links.directions[0, other].cut = True
-    fleet.attempt_started(7, 2500.0, 4.0, 0)("refused")  # at a partitioned gateway: counts as short, not for the floor
+    fleet.attempt_started(7, 2500.0, 4.0, 0)(
+        "refused"
+    )  # at a partitioned gateway: counts as short, not for the floor
     assert fleet.guaranteed_fraction() == 0.5 and fleet._contract_ledgers["c"].units_short() > 3.9
 
 
@@ -389,7 +400,9 @@
 async def await_writes(fleet: EmulatedCluster, count: int = 15) -> None:
     """Wait until `count` further writes are acknowledged."""
     target = len(fleet.ledger.acknowledged) + count
-    assert await fleet.wait_until(lambda: len(fleet.ledger.acknowledged) >= target, 30.0), fleet.ledger.figures()
+    assert await fleet.wait_until(lambda: len(fleet.ledger.acknowledged) >= target, 30.0), (
+        fleet.ledger.figures()
+    )
 
 
 def test_a_lost_machine_loses_no_write_and_returns_with_a_new_incarnation(tmp_path: Path) -> None:
@@ -440,6 +453,8 @@
             [],
         )
         assert stage.cluster is not None and stage.cluster.rolling_restarts[0]["restarts"] == 3
-        assert stage.counts["served"] > 0 and max(server.max_open_connections for server in stage._servers) > 0
+        assert (
+            stage.counts["served"] > 0 and max(server.max_open_connections for server in stage._servers) > 0
+        )
 
     run_with_timeout(test, 110.0)
--- a/tests/testbed/test_planted_faults.py
+++ b/tests/testbed/test_planted_faults.py
@@ -99,7 +99,10 @@
         self._syncing, self._queued = self._queued, []
         for store in self._syncing:
             self._event_queue.schedule(
-                self._event_queue.now, self._notify, self._process_number, RecordsPersisted(store.group, store.sequence)
+                self._event_queue.now,
+                self._notify,
+                self._process_number,
+                RecordsPersisted(store.group, store.sequence),
             )
         self._event_queue.schedule(self._event_queue.now + 30.0, self._quietly, self._process_number)  # type: ignore[attr-defined]
 
