--- a/badgeryoke/decisions/counter_health/ceiling_guard.py
+++ b/badgeryoke/decisions/counter_health/ceiling_guard.py
@@ -1,9 +1,9 @@
 """Enforces a hard ceiling while a loss of the counter has not been detected yet.
 
 Until the gateways detect that others are hidden, every side of a partition grants the customer's whole quota.  The
-ceiling is kept by the capacity that it has above the quota, and by a history of this gateway's sends since the
+ceiling is enforced by the capacity that it has above the quota, and by a history of this gateway's sends since the
 last time at which all gateways were known to be visible.  Where the quota's token bucket of B units held r units
-at that time, and the ceiling's token bucket holds up to K units and fills at rate C, the ceiling's held at least
+at that time, and the ceiling's token bucket holds up to K units and fills at rate C, the ceiling's bucket held at least
 K - B + r, as long as sends conform to the quota.  Each gateway of a set of g may send an even share of that, which
 fills at C / g up to K / g; together they stay within the ceiling, whichever gateways each of them sees.  In normal
 operation heartbeats move that time, and with it the remaining share, forward nearly twice a second, and the bound
@@ -22,9 +22,9 @@
 
 SEND_HISTORY_MS = 6000.0  # must exceed the longest detection time of a loss
 HISTORY_STEP_MS = 25.0  # sends within one step are merged into one entry with the time of the last send
-SWEEP_INTERVAL_MS = 1000.0  # between two removals of old entries
+SWEEP_INTERVAL_MS = 1000.0  # time between two removals of old entries
 MIN_UNITS_IN_FLIGHT = 1e-9  # anything less is a rounding error
-CEILING_USED_FRACTION = 0.95  # of the ceiling: the counter may not include the others' latest sends yet
+CEILING_USED_FRACTION = 0.95  # used fraction of the ceiling: totals may lack the others' latest sends
 
 
 class CeilingGuard:
@@ -68,7 +68,7 @@
             if at >= visible_until:
                 level, updated_at = min(level + (at - updated_at) * rate, max_level) - sent_units, at
         level = min(level + (now - updated_at) * rate, max_level) - in_flight
-        # No sooner than the quota admits it, or a retry at that time would be rejected again.
+        # Not before the quota admits the request: an earlier retry would be rejected again.
         refill_ms = max(min(units, max_level) - level, 0.0) / rate
         return max(refill_ms, quota.bucket.wait(now, units)) if refill_ms else 0.0
 
--- a/badgeryoke/decisions/counter_health/detector.py
+++ b/badgeryoke/decisions/counter_health/detector.py
@@ -5,7 +5,7 @@
 and increases no sooner than MIN_STATE_DURATION_MS after its last change.  The *state*, which is logged and shown
 to operators, follows TRANSITIONS and never changes twice within MIN_STATE_DURATION_MS.
 
-Gateways share nothing but the counter, so all that one can learn of another is whether its digit in the
+Gateways share nothing but the counter, so all that one gateway can learn of another is whether its digit in the
 presence register still grows (see `presence_register`).  A digit that does not grow has three possible causes,
 which no call can distinguish: the other gateway is dead, it is cut off from the counter, or it writes to another
 part of a partitioned counter.  Grants are safe in all three cases.  The state also depends on the request rate:
@@ -38,11 +38,11 @@
 from badgeryoke.decisions.counter_health.reply_monitor import ReplyMonitor
 from badgeryoke.decisions.counter_health.visibility import Visibility
 
-MAX_HIDDEN_USE_MS = 10_000.0  # hidden gateways' use before their detection counts for this time at most
-MIN_STATE_DURATION_MS = 2000.0  # between two changes of the state, and before visibility increases
+MAX_HIDDEN_USE_MS = 10_000.0  # longest time before their detection for which hidden gateways' use is charged
+MIN_STATE_DURATION_MS = 2000.0  # time between two changes of the state, and before visibility increases
 EPOCH_MS = 60_000.0  # epochs end at the same time at all gateways, which bounds how long they can differ
 EPOCHS_PER_PERIOD = 10  # epoch number = number of its register period * this + generation
-MIN_EXTRA_CALL_GAP_MS = 4000.0  # between two calls beside the heartbeats: with them no more than 2 calls/s
+MIN_EXTRA_CALL_GAP_MS = 4000.0  # time between extra calls; with the heartbeats, at most 2 calls/s
 MAX_UNREAD_CHANGES = 64
 
 
@@ -60,7 +60,7 @@
         self._replies = ReplyMonitor(timeout_ms)
         self._diagnosis = HiddenGatewayDiagnosis()
         self._schedule = HeartbeatSchedule(gateway_index, gateway_count)
-        self._is_starting = True  # until each register was read twice: no gateway is known to be alive yet
+        self._is_starting = True  # until each register was read twice, no gateway is known to be alive
         self._reading_count = 0
         self._rotation_index = 0
         self._own_digit = 0  # this gateway's digit as last read
@@ -148,7 +148,7 @@
     def _generations_to_publish(self) -> int:
         """Generations to add with this heartbeat: a loss of data detected here that is not published yet.
 
-        Gateways of a group wait one heartbeat longer each, by their index, so that usually only one publishes.
+        Each gateway of a group waits one heartbeat longer than the previous one, so that usually only one publishes.
         """
         if not self._heartbeats_to_publish:
             return 0
@@ -173,7 +173,7 @@
         self._calls_in_flight = max(self._calls_in_flight - 1, 0)
         self.call_ended(now, succeeded, rtt_ms, connect_failed)
         if not succeeded:
-            if call.published_generations:  # possibly not recorded: published again with the next heartbeat
+            if call.published_generations:  # may not be recorded: published again with the next heartbeat
                 self._heartbeats_to_publish = 1
             if overloaded:
                 self._schedule.back_off()
@@ -279,7 +279,7 @@
             return
         newly_suspected = suspected - visibility.hidden
         lost_visibility = (unreachable and not visibility.counter_unreachable) or bool(newly_suspected)
-        if unreachable:  # heartbeats from before do not show who is visible when the counter is back
+        if unreachable:  # earlier heartbeats do not show which gateways are visible after the outage
             self.peers.expire_all()
             self._unreachable_at = now
         if lost_visibility:
--- a/badgeryoke/decisions/counter_health/error_bound.py
+++ b/badgeryoke/decisions/counter_health/error_bound.py
@@ -13,7 +13,7 @@
 from badgeryoke.decisions.counter_health.peer_heartbeats import SUSPECT_HEARTBEATS
 from badgeryoke.decisions.interface import Plan
 
-CEILING_ERROR_FRACTION = 0.05  # of a ceiling's burst: units that others have sent but not reported yet
+CEILING_ERROR_FRACTION = 0.05  # fraction of a ceiling's burst: units sent by others but not reported yet
 
 
 def detection_time_ms(gateway_count: int) -> float:
--- a/badgeryoke/decisions/counter_health/monitored_policy.py
+++ b/badgeryoke/decisions/counter_health/monitored_policy.py
@@ -30,7 +30,7 @@
 )
 from badgeryoke.decisions.policy.engine import DecisionEngine
 
-FIRST_DETECTOR_TOKEN = 1 << 62  # the detector's timers; the decision engine's tokens count from 1
+FIRST_DETECTOR_TOKEN = 1 << 62  # first token of the detector's timers; the decision engine's count from 1
 
 
 class MonitoredEngine:
--- a/badgeryoke/decisions/counter_health/peer_heartbeats.py
+++ b/badgeryoke/decisions/counter_health/peer_heartbeats.py
@@ -17,7 +17,7 @@
 MAX_NEIGHBOUR_DISTANCE = 3  # a customer's gateway set spans no more than four gateways
 SUSPECT_HEARTBEATS = 0.9  # missed heartbeats after which a gateway is suspected
 HIDDEN_HEARTBEATS = 1.9  # missed heartbeats after which it is reported as hidden
-SLOW_COUNTER_HEARTBEATS = 8.0  # used for both while the counter is slow: calls are late, and fewer are made
+SLOW_COUNTER_HEARTBEATS = 8.0  # replaces both while the counter is slow, as calls are late and fewer are made
 
 
 class PeerHeartbeats:
--- a/badgeryoke/decisions/counter_health/presence_register.py
+++ b/badgeryoke/decisions/counter_health/presence_register.py
@@ -6,7 +6,7 @@
 
 Digits only grow, and a period has no more than nine heartbeats, so a digit never overflows into the next one,
 and a digit below the number of confirmed heartbeats proves that the counter has lost data.  A period's register
-is read once more when the period is over, and then expires, and any corruption with it.  A second kind of
+is read once more when the period is over, and then expires together with any corruption of it.  A second kind of
 register, for membership, holds one digit per gateway for much longer; a gateway that has just started reads from
 it which others have been alive.
 
@@ -18,13 +18,13 @@
 from enum import IntEnum
 
 GATEWAYS_PER_REGISTER = 6  # seven exact digits, less one for the generation
-HEARTBEAT_INTERVAL_MS = 600.0  # between two heartbeats of a gateway
+HEARTBEAT_INTERVAL_MS = 600.0  # time between two heartbeats of a gateway
 REGISTER_PERIOD_MS = 8 * HEARTBEAT_INTERVAL_MS  # a digit reaches 8 in it, or 9 where a timer fires early
-MEMBERSHIP_PERIOD_MS = 30_000.0  # of a membership register: two periods fit into a name's lifetime
+MEMBERSHIP_PERIOD_MS = 30_000.0  # period of a membership register: two fit into a name's lifetime
 NAME_LIFETIME_MS = 60_000.0  # the longest lifetime of a name that the counter allows
 MAX_DIGIT = 9  # a digit of this value is not incremented
 GENERATION_UNIT = 10.0**GATEWAYS_PER_REGISTER  # what one generation adds to a total
-MAX_GENERATION = 8  # per period: a tenth generation could make the total inexact
+MAX_GENERATION = 8  # maximum per period: a tenth generation could make the total inexact
 NAME_MASK = (1 << 63) - 1  # counter names are below 2^63
 
 
--- a/badgeryoke/decisions/counter_health/register_calls.py
+++ b/badgeryoke/decisions/counter_health/register_calls.py
@@ -22,8 +22,8 @@
     group: int
     kind: RegisterKind
     period: int
-    is_heartbeat: bool  # it increments this gateway's digit
-    published_generations: int = 0  # generations that it adds
+    is_heartbeat: bool  # whether the call increments this gateway's digit
+    published_generations: int = 0  # generations that the call adds
 
 
 def heartbeat_call(group: int, period: int, digit_units: float, generations: int = 0) -> RegisterCall:
--- a/badgeryoke/decisions/counter_health/reply_monitor.py
+++ b/badgeryoke/decisions/counter_health/reply_monitor.py
@@ -10,8 +10,8 @@
 UNREACHABLE_MS = 400.0
 UNREACHABLE_MIN_FAILURES = 3
 UNRESPONSIVE_MS = 1500.0  # without a reply for this long, the counter is dead even if it accepts connections
-SLOW_DELAY_FRACTION = 0.25  # of the timeout: the counter is slow where the mean delay exceeds this
-RECOVERED_DELAY_FRACTION = 0.12  # of the timeout: a slow counter has recovered at this mean delay
+SLOW_DELAY_FRACTION = 0.25  # fraction of the timeout: the counter is slow where the mean delay exceeds this
+RECOVERED_DELAY_FRACTION = 0.12  # fraction of the timeout: a slow counter has recovered at this mean delay
 DELAY_GAIN = 0.2  # EWMA weight of one reply in the mean delay
 
 
--- a/badgeryoke/decisions/counter_health/request_rate.py
+++ b/badgeryoke/decisions/counter_health/request_rate.py
@@ -22,7 +22,7 @@
 
     def __init__(self) -> None:
         self._samples: deque[int] = deque(maxlen=MAX_REQUEST_SAMPLES)
-        self._request_count = 0  # in the present sample
+        self._request_count = 0  # requests in the present sample
         self._sample_number = -1
         self._usual_rate = 0.0  # requests per second before gateways became hidden
 
--- a/badgeryoke/decisions/counter_health/visibility.py
+++ b/badgeryoke/decisions/counter_health/visibility.py
@@ -20,7 +20,7 @@
 
 from badgeryoke.decisions.quota_protocols import BucketT, CustomerQuota
 
-PROBE_INTERVAL_MS = 1000.0  # between two calls for a customer whose partition of the counter is unreachable
+PROBE_INTERVAL_MS = 1000.0  # time between two calls for a customer whose counter partition is unreachable
 # After calls failed for this long and this often, the customer's partition of the counter is unreachable.
 PARTITION_TIMEOUT_MS, PARTITION_MIN_FAILURES = 400.0, 2
 MAX_FAILING_CUSTOMERS = 20_000  # customers whose failed calls are counted
@@ -44,7 +44,7 @@
         # Units that this gateway has sent for a customer since all gateways were last known to be visible.
         self.units_since_visible: Callable[[int], float] = lambda customer: 0.0
         self.changed_at = 0.0  # when the present version began
-        self.undetected_ms = 0.0  # from the hidden gateways' last heartbeats until `changed_at`
+        self.undetected_ms = 0.0  # time from the hidden gateways' last heartbeats until `changed_at`
         # By customer: failed calls since the last success, and the time of the first of them or of the last probe.
         self._failed_calls: dict[int, tuple[int, float]] = {}
         # Customers whose partition of the counter is presumed unreachable.
--- a/badgeryoke/decisions/interface.py
+++ b/badgeryoke/decisions/interface.py
@@ -141,7 +141,7 @@
     has_counter: bool = False
     counter_timeout_ms: float = 0.0
     max_request_units: float = 1.0
-    max_attempts: int = 1  # per request, including the first
+    max_attempts: int = 1  # attempts per request, including the first
     can_cancel: bool = False  # whether attempts in flight can be cancelled
     max_retry_after_ms: float = 0.0
     must_subscribe: bool = False  # whether changes of the endpoint list need a subscription
@@ -149,8 +149,8 @@
     response_slack_ms: float = 0.0  # part of a deadline that is reserved for the way to a server
     slow_start_fraction: float = 1.0  # fraction of its capacity that a server has when it starts
     slow_start_ms: float = 0.0  # time until a started server has its full capacity
-    overload_multiple: float = 1.0  # a server is overloaded by this many times its warm load ...
-    overload_window_ms: float = 0.0  # ... if it gets that load within a window of this length
+    overload_multiple: float = 1.0  # a server is overloaded by this many times its warm load
+    overload_window_ms: float = 0.0  # window within which that load overloads the server
 
     def __post_init__(self) -> None:
         _require_at_least(1, gateway_count=self.gateway_count)
@@ -203,10 +203,10 @@
     request_class: str
     plan: str
     customer: int
-    remaining_ms: float  # until the client's deadline
+    remaining_ms: float  # time until the client's deadline
     units: float  # estimated cost
     gateway_set_size: int  # number of gateways that serve the customer
-    first_gateway: int = 0  # index of the first of them
+    first_gateway: int = 0  # index of the first of these gateways
     retry: bool = False  # whether the client has sent the request before
     reservation_rank: int = 0  # priority under a capacity reservation, 1 is shed last; 0: not reserved
 
--- a/badgeryoke/decisions/plan_schedule/schedule.py
+++ b/badgeryoke/decisions/plan_schedule/schedule.py
@@ -5,7 +5,7 @@
 applying another sequence of versions.  Announcing a version again is idempotent; announcing a different version
 under the same number is an error.
 
-Exemptions give one customer its own limits until a stated end.  They take precedence over the plan.
+Exemptions give one customer its own limits until a given time.  They take precedence over the plan.
 
 Bounds: at most MAX_PENDING_VERSIONS of a plan are pending, the version in force and the previous one are kept, and
 there are at most MAX_EXEMPTIONS exemptions; a change beyond these is rejected and has no effect.
@@ -19,7 +19,7 @@
 
 from badgeryoke.decisions.plan_schedule.carry_over import PlanLimits
 
-MIN_LEAD_MS = 2000.0  # from announcement to effect: enough to notify all gateways
+MIN_LEAD_MS = 2000.0  # time from announcement to effect: enough to notify all gateways
 MAX_PENDING_VERSIONS = 8
 MAX_EXEMPTIONS = 100_000
 MAX_EXEMPTION_MS = 366 * 24 * 3_600_000.0  # an exemption ends within a year
--- a/badgeryoke/decisions/policy/load_balancing.py
+++ b/badgeryoke/decisions/policy/load_balancing.py
@@ -16,7 +16,7 @@
 # converges to a low percentile, below which few responses lie.
 BASE_LATENCY_GAIN_DOWN = 0.1
 BASE_LATENCY_GAIN_UP = 0.02
-BASE_LATENCY_PRIOR_RESPONSES = 3.0  # number of responses that the initial base latency weighs as much as
+BASE_LATENCY_PRIOR_RESPONSES = 3.0  # weight of the initial base latency, as a number of responses
 # Time constant of a measured queueing delay, and its lower bound in multiples of that delay: other gateways
 # still send to a server with a long queue.
 QUEUE_TAU_OBJECTIVES = 2.5
--- a/badgeryoke/decisions/policy/quota.py
+++ b/badgeryoke/decisions/policy/quota.py
@@ -111,8 +111,8 @@
         self.visibility_version = 0  # version of the gateway visibility that the buckets are configured for
         self.previous_period_open = False  # whether the previous period's final total is still to be read
         self.own_rate = self.others_rate = 0.0  # EWMA of units/s through this gateway and through the others
-        self.unreported_units = 0.0  # sent, but in no call yet; negative: reported, but not sent
-        self.estimated_units = 0.0  # in the call, for unconfirmed sends that its sampled requests represent
+        self.unreported_units = 0.0  # units sent, but in no call yet; negative: reported, but not sent
+        self.estimated_units = 0.0  # units in the call for unconfirmed sends that sampled requests represent
         self.correction_units = 0.0  # unreported differences between measured and estimated charges
         self.uncertain_units = 0.0  # units of calls that timed out: the counter may have added them
         self.calls_in_flight: dict[int, float] = {}  # units of each call, by counter name
@@ -144,7 +144,7 @@
         return min(max(period_ms, MIN_PERIOD_MS), MAX_PERIOD_MS)
 
     def own_share(self) -> float:
-        """Return this gateway's share of the quota: its last measured rate and an even part of the unused."""
+        """Return this gateway's share of the quota: its last measured rate and an even part of the unused rate."""
         unused = max(self.plan.rate - self.own_rate - self.others_rate, 0.0) / self.gateway_set_size
         share = max((self.own_rate + unused) / self.plan.rate, MIN_SHARE_FRACTION / self.gateway_set_size)
         return min(share, 1.0)
@@ -178,7 +178,7 @@
         self.visibility: CounterVisibility | None = None  # None: the counter is assumed to be healthy
         self._quotas: dict[int, CustomerQuota] = {}  # by customer
         self._calls: dict[int, CustomerQuota] = {}  # quota of each call in flight, by counter name
-        self._call_probability = 1.0 if settings.has_counter else 0.0  # of a call of mean value
+        self._call_probability = 1.0 if settings.has_counter else 0.0  # probability of a call of mean value
         self._fastest_reply_ms = FASTEST_REPLY_FRACTION * settings.counter_timeout_ms
         self._mean_call_value = 0.0  # EWMA of the value of calls, in the unit of prices
         self._swept_at, self._started_at = -math.inf, math.nan
@@ -218,7 +218,7 @@
     def unconfirmed_wait(self, now: float, quota: CustomerQuota, units: float) -> float:
         """Return the time in ms until an unconfirmed request conforms.
 
-        While the counter replies, the gateway's share is at random raised to 1/sqrt(gateways): customers
+        While the counter replies, the gateway's share is raised to 1/sqrt(gateways) at random: customers
         within their quota rarely use more at one gateway.
         """
         bucket = quota.bucket
--- a/badgeryoke/decisions/priority_admission.py
+++ b/badgeryoke/decisions/priority_admission.py
@@ -16,7 +16,7 @@
   under the ceiling; the customer's other requests are rejected before that, since they must leave part of the buckets
   (`RESERVED_BUCKET_FRACTION`).
 
-Known limitation: the headroom is split evenly, since a gateway cannot know what others send that were not notified
+Known limitation: the headroom is split evenly, since a gateway has no data on gateways that were not notified
 of the reservation.  A customer whose requests all arrive at one gateway of many has only its quota and one share of
 the headroom there.
 """
@@ -38,14 +38,14 @@
 from badgeryoke.decisions.policy import engine
 from badgeryoke.decisions.policy.quota import CustomerQuota, GcraBucket
 
-# While servers are slow, priority class n may exceed their estimated concurrency by 1/n of this fraction of it.
+# While servers are slow, priority class n may exceed their estimated concurrency by this fraction, divided by n.
 # Requests without reservation are shed long before.
 SLOW_OVERCOMMIT_FRACTION = 3.0
 # The fraction of the buckets under a ceiling that is kept for a customer's reserved requests, for RESERVED_BUCKET_MS
 # after the last of them.  The customer's other requests keep the rate, but not the burst.
 RESERVED_BUCKET_FRACTION = 0.75
 RESERVED_BUCKET_MS = 2000.0
-MAX_PRIORITY_CUSTOMERS = 10_000  # customers with recent reserved requests; at this number all are dropped
+MAX_PRIORITY_CUSTOMERS = 10_000  # customers with recent reserved requests; all are dropped at this number
 CEILING, LOAD, SERVER = "ceiling", "load", "server"  # causes of a rejection, for the log
 
 
@@ -55,7 +55,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self._reserved_quota: CustomerQuota | None = None  # shared by all reserved requests; unlimited
-        self._verdict: Verdict | None = None  # of the attempt whose outcome is being handled
+        self._verdict: Verdict | None = None  # verdict of the attempt whose outcome is being handled
         # By customer under a ceiling: when its last reserved request arrived.
         self._priority_customers: dict[int, float] = {}
 
--- a/badgeryoke/decisions/settings_parser.py
+++ b/badgeryoke/decisions/settings_parser.py
@@ -30,7 +30,7 @@
 MAX_GATEWAYS = 1e6
 MAX_ATTEMPTS = 1e3
 MAX_NAME_CHARACTERS = 256
-MAX_SHOWN_CHARACTERS = 64  # of an invalid value in an error message
+MAX_SHOWN_CHARACTERS = 64  # length to which an error message cuts an invalid value
 # Every key that the platform documents, by section, including those that the engine does not use.
 KNOWN_KEYS = {
     "": "charges classes clients contracts discovery family_info feedback goal instances kind_of_service kinds me "
--- a/badgeryoke/decisions/state_snapshot.py
+++ b/badgeryoke/decisions/state_snapshot.py
@@ -20,7 +20,7 @@
 
 VERSION = 2
 MAX_CUSTOMERS = 20_000  # the most recently used ones; the others start as after a crash
-MAX_BYTES = 8 * 1024 * 1024  # of an encoded snapshot without its header line
+MAX_BYTES = 8 * 1024 * 1024  # size of an encoded snapshot without its header line
 
 # The structs are encoded as arrays: the order of their fields is the format.
 
