--- a/badgeryoke/gateway/address.py
+++ b/badgeryoke/gateway/address.py
@@ -8,7 +8,7 @@
 Address = tuple[str, int]
 
 MAX_PORT = 65_535
-MAX_QUOTED_CHARACTERS = 64  # of a malformed address, in the error text
+MAX_QUOTED_CHARACTERS = 64  # length to which an error text cuts a malformed address
 
 
 def parse_address(text: str) -> Address:
--- a/badgeryoke/gateway/admin/rendering.py
+++ b/badgeryoke/gateway/admin/rendering.py
@@ -21,7 +21,7 @@
 
     pending: int  # requests accepted and not yet answered
     members: int  # servers in the endpoint list
-    members_unavailable: int  # those of them that currently get no requests
+    members_unavailable: int  # listed servers that currently get no requests
 
 
 def render_metrics(metrics: Metrics, gauges: Gauges) -> str:
--- a/badgeryoke/gateway/admin/server.py
+++ b/badgeryoke/gateway/admin/server.py
@@ -10,13 +10,13 @@
 # Beyond this number of open connections, the oldest is closed.  Admin connections do not count against the limit of
 # client and upstream connections.
 MAX_CONNECTIONS = 16
-MAX_CONNECTIONS_IN_CLUSTER = 48  # in a cluster member, whose calls may wait 2 s for a leader
+MAX_CONNECTIONS_IN_CLUSTER = 48  # limit in a cluster member, whose calls may wait 2 s for a leader
 MAX_LINE_BYTES = 256
 FLEET_PREFIX = b"FLEET "
 MAX_FLEET_LINE_BYTES = 64 * 1024
 READ_BYTES = 4096
-CALL_TIMEOUT_S = 5.0  # from accepting a connection to writing the answer; callers give up after 1 s
-LINGER_S = 0.5  # for the caller to read the answer and close the connection
+CALL_TIMEOUT_S = 5.0  # time from accepting a connection to writing the answer; callers give up after 1 s
+LINGER_S = 0.5  # time for the caller to read the answer and close the connection
 
 
 class AdminServer:
--- a/badgeryoke/gateway/attempt.py
+++ b/badgeryoke/gateway/attempt.py
@@ -32,7 +32,7 @@
     value: bytes = b""
     true_units: float = 0.0  # 0: not reported by the server
     load_report: tuple[float, ...] = ()  # values in the order of the settings' report names
-    detail: str = ""  # the cause, in words
+    detail: str = ""  # a description of the cause
 
 
 @dataclass(slots=True)
@@ -43,11 +43,11 @@
     request_class: str
     plan: str
     customer: int
-    remaining_ms: float  # before the client gives up
+    remaining_ms: float  # time until the client's deadline
     units: float
     gateway_set_size: int  # the number of gateways over which the customer's requests are spread
     first_gateway: int = 0  # the index of the first gateway of that set
-    retry: bool = False  # the client marked it as sent before
+    retry: bool = False  # whether the client marked it as sent before
     idempotency_key: str = ""
     body: bytes | None = None
     idempotent: bool | None = None  # None: not stated on the wire; the dispatcher sets it from the class
@@ -118,11 +118,11 @@
         self.started_ms, self.deadline_ms = started_ms, deadline_ms
         self.potential_duplicate = potential_duplicate
         self.write_by_ms = write_by_ms if request.send_by_ms is None else min(write_by_ms, request.send_by_ms)
-        self.write_started = False  # its first byte may have been sent
+        self.write_started = False  # whether the first byte may have been sent
         self.final = False  # no further attempt will follow
         self.stage = AttemptStage.NOT_WRITTEN
         self.on_abort: Callable[[], None] | None = None  # set by the upstream: releases its resources
-        self.response_stream: ResponseStream | None = None  # a streamed response has begun
+        self.response_stream: ResponseStream | None = None  # set once a streamed response has begun
         self.on_response_started: Callable[[ResponseStream], None] | None = None  # set by the dispatcher
         self._on_end, self._on_written = on_end, on_written
 
--- a/badgeryoke/gateway/cluster/connection_leases.py
+++ b/badgeryoke/gateway/cluster/connection_leases.py
@@ -26,7 +26,7 @@
 from badgeryoke.gateway.cluster.settings import ClusterSettings
 from badgeryoke.gateway.cluster.upstream_lease import UpstreamLease
 
-CHECK_INTERVAL_S = 0.05  # between checks for connections to close and for actions of a rolling restart
+CHECK_INTERVAL_S = 0.05  # time between checks for connections to close and for actions of a rolling restart
 BOOT_ID_FILE = Path("/proc/sys/kernel/random/boot_id")
 _PROCESS_TOKEN_BYTES = 6
 
--- a/badgeryoke/gateway/cluster/node_driver.py
+++ b/badgeryoke/gateway/cluster/node_driver.py
@@ -66,7 +66,7 @@
         self._writer, self._transport, self._calls = writer, transport, calls
         self._on_failure = on_failure
         self._loop = asyncio.get_running_loop()
-        self._broken_invariants = 0  # reported so far
+        self._broken_invariants = 0  # number that has been reported
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due_ms = math.inf
         self._stopped = False
@@ -105,7 +105,7 @@
         """The effects of an event; None if the node has failed."""
         try:
             effects = self.node.handle(self._clock.monotonic_ms(), self._clock.unix_ms(), event)
-        except Exception:  # of any kind: the node's state is unreliable, and requests must still be served
+        except Exception:  # any exception: the node's state is unreliable, but requests must still be served
             event_type = type(event).__name__
             log.exception("cluster node failed while handling %s", event_type)
             self._on_failure(
--- a/badgeryoke/gateway/cluster/rolling_restart_duties.py
+++ b/badgeryoke/gateway/cluster/rolling_restart_duties.py
@@ -34,7 +34,7 @@
 
 
 class RollingRestartDuties:
-    """Connects the agent, which knows the desired state, with the gateway."""
+    """Connects the agent, which holds the desired state, with the gateway."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         )
 
     def carry_out(self, now_ms: float) -> None:
-        """Carry out the actions that the restart wants now."""
+        """Carry out the actions that the restart requires now."""
         for desired in self.agent.next_actions(now_ms):
             log.info("rolling restart %s: %s", self.agent.restart, desired.name.lower())
             obstacle = self._apply(desired)
--- a/badgeryoke/gateway/cluster/server_limits.py
+++ b/badgeryoke/gateway/cluster/server_limits.py
@@ -11,10 +11,9 @@
 from badgeryoke.gateway.cluster.settings import Servers
 
 REMOVAL_CHECK_INTERVAL_MS = 5000.0
-REMOVAL_DELAY_MS = (
-    60_000.0  # after which the limit of a server that is unlisted here and has no leases is removed
-)
-MAX_REMOVALS = 64  # per check
+# The limit of a server that is unlisted here and has no leases is removed after this time.
+REMOVAL_DELAY_MS = 60_000.0
+MAX_REMOVALS = 64  # removals per check
 
 
 class ServerLimits:
--- a/badgeryoke/gateway/cluster/service.py
+++ b/badgeryoke/gateway/cluster/service.py
@@ -41,10 +41,10 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_CALLS = 1024  # of this member; further calls are rejected
-LEAVE_TIMEOUT_S = 1.0  # for the node to transfer the leadership of its groups at a graceful shutdown
-CLOSE_TIMEOUT_S = 0.5  # for the last transaction of the storage
-CALL_TIMEOUT_FACTOR = 2.0  # times `call_ms`, within which the node completes a call
+MAX_PENDING_CALLS = 1024  # pending calls of this member; further ones are rejected
+LEAVE_TIMEOUT_S = 1.0  # time for the node to transfer the leadership of its groups at a graceful shutdown
+CLOSE_TIMEOUT_S = 0.5  # time for the last transaction of the storage
+CALL_TIMEOUT_FACTOR = 2.0  # multiple of `call_ms`, within which the node completes a call
 
 
 class ClusterService:
@@ -65,7 +65,8 @@
         self.settings = settings
         self.member = settings.me or gateway_name
         self.clock = ClusterClock(monotonic_ms, unix_time_s)
-        self.connection_leases: ConnectionLeases | None = None  # of this gateway's upstream connections
+        # The leases of this gateway's upstream connections.
+        self.connection_leases: ConnectionLeases | None = None
         self.reservation_client: ReservationClient | None = None
         self.on_reservation_client: Callable[[ReservationClient, Callable[[], float]], None] | None = None
         self.failure: ClusterError | None = None  # the reason why this member has stopped
@@ -101,7 +102,7 @@
     async def _start(self) -> None:
         try:
             await self._open_and_run()
-        except Exception:  # of any kind: the gateway runs on without the cluster
+        except Exception:  # any exception: the gateway keeps running without the cluster
             log.exception("cluster member could not start")
             self._fail(InvariantBroken(self.member, "it could not start; see the log for the cause"))
 
--- a/badgeryoke/gateway/cluster/settings.py
+++ b/badgeryoke/gateway/cluster/settings.py
@@ -20,7 +20,7 @@
 
 MAX_MEMBERS = 256
 MAX_GROUPS = 256
-MAX_CONNECTIONS = 65_535  # to one server
+MAX_CONNECTIONS = 65_535  # connections to one server
 REPLICA_COUNTS = (3, 5, 1)  # 1 is for trials: acknowledged writes are lost with the one machine
 _NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,47}")
 _NAME_RULE = "expected 1 to 48 letters, digits, '.', '_' or '-'"
@@ -38,7 +38,7 @@
 class Servers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The maximum number of connections to a server, over all gateways; 0: unlimited."""
 
-    connections: int = 0  # for each server that `limits` does not name
+    connections: int = 0  # limit of each server that `limits` does not name
     limits: dict[str, int] = msgspec.field(default_factory=dict)
 
 
--- a/badgeryoke/gateway/cluster/startup.py
+++ b/badgeryoke/gateway/cluster/startup.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_INTERVAL_S = 0.2  # while the previous process still holds the directory or the address
+RETRY_INTERVAL_S = 0.2  # time between attempts while the previous process holds the directory or the address
 LISTEN_BACKLOG = 128
 
 
--- a/badgeryoke/gateway/cluster/storage/__init__.py
+++ b/badgeryoke/gateway/cluster/storage/__init__.py
@@ -8,7 +8,7 @@
 `acknowledged_counter` the file with the number of the last acknowledged transaction
 `store`                an open store, and its write transaction
 `verification`         reading a store back, with all checksums verified
-`wal_inspection`       telling a torn tail of the write-ahead log from damage
+`wal_inspection`       distinguishing a torn tail of the write-ahead log from damage
 `opening`              locking, creating and opening a store, and setting a damaged one aside
 `writer`               the thread that writes in batches
 """
--- a/badgeryoke/gateway/cluster/storage/format.py
+++ b/badgeryoke/gateway/cluster/storage/format.py
@@ -61,7 +61,7 @@
     term: int = 0
     vote: str = ""
     snapshot_index: int = 0  # 0 if there is no snapshot
-    chain_start_checksum: int = 0  # from which the first entry after the snapshot continues
+    chain_start_checksum: int = 0  # the first entry after the snapshot continues from this checksum
     last_index: int = 0
     last_checksum: int = 0
     snapshot_checksum: int = 0
--- a/badgeryoke/gateway/cluster/storage/opening.py
+++ b/badgeryoke/gateway/cluster/storage/opening.py
@@ -31,7 +31,7 @@
 from badgeryoke.gateway.cluster.storage.store import ClusterStorage
 from badgeryoke.gateway.cluster.storage.verification import read_stored_state
 
-MAX_DAMAGED_STORES = 4  # that are kept; the oldest is removed beyond this number
+MAX_DAMAGED_STORES = 4  # damaged stores that are kept; beyond this number the oldest is removed
 OPEN_ATTEMPTS = 2  # the second opens the new store that replaces a damaged one
 SQLITE_CACHE_KIB = 1024
 INCARNATION_BYTES = 4
--- a/badgeryoke/gateway/cluster/storage/wal_inspection.py
+++ b/badgeryoke/gateway/cluster/storage/wal_inspection.py
@@ -19,7 +19,7 @@
 _WAL_MAGIC = 0x377F0682  # with the lowest bit set, checksums are over big-endian words
 _CHECKSUMMED_HEADER_BYTES = 24
 _CHECKSUMMED_HEADER_WORDS = 6
-_VALID_FRAMES_OFFSET, _VALID_FRAMES_END = 16, 20  # of mxFrame in the index file, in native byte order
+_VALID_FRAMES_OFFSET, _VALID_FRAMES_END = 16, 20  # mxFrame in the index file, in native byte order
 _MAX_TORN_COMMITS = 1
 
 
--- a/badgeryoke/gateway/cluster/storage/writer.py
+++ b/badgeryoke/gateway/cluster/storage/writer.py
@@ -12,7 +12,7 @@
 from badgeryoke.cluster.events import Entries, PersistRecords, Record, RecordsPersisted, Snapshot
 from badgeryoke.gateway.cluster.storage.store import ClusterStorage
 
-MAX_PENDING_BYTES = 64 * 1024 * 1024  # not written yet; the storage has failed if there are more
+MAX_PENDING_BYTES = 64 * 1024 * 1024  # bytes not written yet; beyond this limit the storage counts as failed
 RECORD_OVERHEAD_BYTES = 64  # approximate, per request, record or entry
 CLOSE_TIMEOUT_S = 1.0
 
@@ -37,7 +37,7 @@
         self._on_persisted = on_persisted
         self._on_failure = on_failure
         self._pending: deque[PersistRecords] = deque()
-        self._pending_bytes = 0  # including those of the running transaction
+        self._pending_bytes = 0  # bytes of pending requests and of the running transaction
         self._writing = False
         self._closed = False
         self.failure: ClusterError | None = None
@@ -76,7 +76,7 @@
             fault: Exception | None = None
             try:
                 self._storage.write(batch)
-            except Exception as raised:  # of any kind: the event loop has to learn of the failure
+            except Exception as raised:  # any exception: the event loop has to be notified of the failure
                 fault = raised
             with contextlib.suppress(RuntimeError):  # the event loop is closed
                 self._call_soon_threadsafe(self._batch_written, batch, fault)
--- a/badgeryoke/gateway/cluster/transport/context.py
+++ b/badgeryoke/gateway/cluster/transport/context.py
@@ -13,7 +13,7 @@
 from badgeryoke.gateway.cluster.transport.frames import encode_frame, quoted
 from badgeryoke.gateway.cluster.transport.limits import TransportLimits
 
-READ_AHEAD_BYTES = 64 * 1024  # buffered by a stream beyond one frame
+READ_AHEAD_BYTES = 64 * 1024  # bytes that a stream buffers beyond one frame
 
 
 @dataclass(slots=True)
@@ -21,7 +21,7 @@
     """Shared by a `ClusterTransport` and its connections."""
 
     cluster: str
-    member_id: MemberId  # this member's, with its incarnation
+    member_id: MemberId  # this member's id, with its incarnation
     limits: TransportLimits
     errors: ErrorReporter
     random: Random
--- a/badgeryoke/gateway/cluster/transport/error_reporter.py
+++ b/badgeryoke/gateway/cluster/transport/error_reporter.py
@@ -17,9 +17,8 @@
 
     def __init__(self, report: Callable[[ClusterError], None]) -> None:
         self._report = report
-        self._reported_at_s: dict[
-            tuple[str, str], float
-        ] = {}  # by peer and code, oldest first; on the event loop's clock
+        # By peer and code, oldest first; on the event loop's clock.
+        self._reported_at_s: dict[tuple[str, str], float] = {}
 
     def report(self, error: ClusterError) -> None:
         """Report an error, unless one of the same peer and code was reported within `REPORT_INTERVAL_S`."""
--- a/badgeryoke/gateway/cluster/transport/frames.py
+++ b/badgeryoke/gateway/cluster/transport/frames.py
@@ -12,7 +12,7 @@
 
 LENGTH_BYTES = 4
 MAX_ENVELOPE_OVERHEAD_BYTES = 1024  # an envelope's size without its messages
-_MAX_QUOTED_NAME_CHARS = 64  # of a name that a peer sent, in an error
+_MAX_QUOTED_NAME_CHARS = 64  # length to which an error cuts a name that a peer sent
 _MAX_DECODE_ERROR_CHARS = 200
 
 _encoder = msgspec.msgpack.Encoder()
--- a/badgeryoke/gateway/cluster/transport/inbound.py
+++ b/badgeryoke/gateway/cluster/transport/inbound.py
@@ -18,9 +18,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_REPLACED_INCARNATIONS = 16  # remembered for each member
+MAX_REPLACED_INCARNATIONS = 16  # replaced incarnations recorded for each member
 MAX_MEMBER_ID_CHARS = 128
-ACCEPT_RETRY_S = 1.0  # after the process has run out of file descriptors
+ACCEPT_RETRY_S = 1.0  # delay after the process has run out of file descriptors
 # Two for each peer, since one may be dead and not detected yet, and some for connections without a handshake.
 MAX_CONNECTIONS_PER_PEER, MAX_UNIDENTIFIED_CONNECTIONS = 2, 8
 _UNIDENTIFIED = ""  # name for a connection before its handshake
--- a/badgeryoke/gateway/cluster/transport/peer.py
+++ b/badgeryoke/gateway/cluster/transport/peer.py
@@ -31,7 +31,7 @@
     limits: TransportLimits
     queue: SendQueue = field(init=False)
     sent_count: int = 0
-    member_id: MemberId = ""  # with its incarnation, from its last handshake
+    member_id: MemberId = ""  # the peer's id with its incarnation, from its last handshake
     connected: bool = False  # whether this member's connection to it is open
     idle: bool = False  # whether the connection has to be closed as idle
     heartbeat_sent_at_s: float | None = None  # None if none is unanswered
--- a/badgeryoke/gateway/cluster/transport/send_queue.py
+++ b/badgeryoke/gateway/cluster/transport/send_queue.py
@@ -11,7 +11,7 @@
 from badgeryoke.gateway.cluster.transport.frames import MAX_ENVELOPE_OVERHEAD_BYTES
 from badgeryoke.gateway.cluster.transport.limits import TransportLimits
 
-_COMPACTION_FACTOR = 2  # compacted beyond this multiple of the bound, when most messages are removed
+_COMPACTION_FACTOR = 2  # removed messages are deleted from a deque beyond this multiple of the bound
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
     low_priority_messages: deque[QueuedMessage] = field(default_factory=deque)  # subset of `messages`
     message_count: int = 0
     size_bytes: int = 0
-    dropped_count: int = 0  # beyond a bound, or when a connection failed
+    dropped_count: int = 0  # messages dropped beyond a bound, or when a connection failed
 
     def add(self, to: MemberId, body: bytes, low_priority: bool) -> None:
         """Queue an encoded message."""
--- a/badgeryoke/gateway/cluster/transport/transport.py
+++ b/badgeryoke/gateway/cluster/transport/transport.py
@@ -28,7 +28,7 @@
 from badgeryoke.gateway.cluster.transport.outbound import OutboundConnection
 from badgeryoke.gateway.cluster.transport.peer import Address, Peer, PeerStatus
 
-# Dropped first when a send queue is full: they are sent again soon, or are useless later.
+# Messages of these types are dropped first when a send queue is full: they are sent again soon, or are useless later.
 _LOW_PRIORITY_TYPES = (Ping, Ack, PingRequest, Nack, RequestVote, RequestVoteReply)
 
 
--- a/badgeryoke/gateway/config/diameter_file.py
+++ b/badgeryoke/gateway/config/diameter_file.py
@@ -15,7 +15,7 @@
 from badgeryoke.gateway.config.values import read_address, read_number, read_table
 
 DIAMETER_FILE = "diameter.toml"
-MAX_IDENTITY_CHARACTERS = 255  # in a DiameterIdentity
+MAX_IDENTITY_CHARACTERS = 255  # characters in a DiameterIdentity
 DEFAULT_WATCHDOG_S, MIN_WATCHDOG_S = 30, 6  # the minimum of RFC 3539
 DEFAULT_ANSWERS_KEPT_S, MIN_ANSWERS_KEPT_S = 240, 1
 # The idempotency that the class named by each key of [classes] must have.
--- a/badgeryoke/gateway/config/model.py
+++ b/badgeryoke/gateway/config/model.py
@@ -25,8 +25,10 @@
     deadline_ms: float  # how long clients wait for a CCA (their Tx timer); 0: the class's deadline
     watchdog_s: float
     answers_kept_s: float  # how long an answer is cached for retransmissions
-    check_class: str | None = None  # for CHECK_BALANCE; None: the first idempotent class of the settings
-    debit_class: str | None = None  # for DIRECT_DEBITING; None: the first that takes an idempotency key
+    # The request class of CHECK_BALANCE; None: the first idempotent class of the settings.
+    check_class: str | None = None
+    # The request class of DIRECT_DEBITING; None: the first that takes an idempotency key.
+    debit_class: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +38,7 @@
     name: str
     listen: Address
     discovery: Address
-    counter: Address | None  # of the quota counter; None: there is none
+    counter: Address | None  # address of the quota counter; None: there is no counter
     seed: int
     sockets: int  # file descriptors that may be in use for connections
     memory_mb: float
@@ -45,7 +47,7 @@
     report_names: tuple[str, ...]  # the fields of the load reports that come with answers
     connect_ms: float  # the timeout for connecting to a server
     idle_ms: float  # how long a server keeps an idle connection
-    drain_s: float  # from SIGTERM or PAUSE until connections are closed
+    drain_s: float  # time from SIGTERM or PAUSE until connections are closed
     mgmt: Address | None = None  # the admin address; None: no admin server
     folder: str | None = None  # shared by both processes of a hot restart, where the socket is inherited
     file_shape: FileShape = None  # the keys of the platform's file
--- a/badgeryoke/gateway/config/platform_file.py
+++ b/badgeryoke/gateway/config/platform_file.py
@@ -32,9 +32,9 @@
 
 DEPLOY_FOLDER = "deploy"
 MAX_FILE_BYTES = 16 * 1024 * 1024
-MAX_LOGGED_KEYS, MAX_LOGGED_KEY_CHARACTERS = 20, 64  # of unknown settings, in the log line
-MAX_SHOWN_CHARACTERS = 64  # of a malformed setting, in error messages
-MAX_SHOWN_DESCRIPTOR_CHARACTERS = 32  # of a malformed LB_SOCKET_FD, in error messages
+MAX_LOGGED_KEYS, MAX_LOGGED_KEY_CHARACTERS = 20, 64  # limits for the log line on unknown settings
+MAX_SHOWN_CHARACTERS = 64  # length to which error messages cut a malformed setting
+MAX_SHOWN_DESCRIPTOR_CHARACTERS = 32  # length to which error messages cut a malformed LB_SOCKET_FD
 # The platform's load balancer opens new connections until 0.2 to 0.4 s after a SIGTERM; these and their requests are
 # still accepted.
 DRAIN_S = 0.45
--- a/badgeryoke/gateway/connecting.py
+++ b/badgeryoke/gateway/connecting.py
@@ -25,7 +25,7 @@
 
     Nothing may watch the socket before it starts to connect: until then it reports a hang-up, which Tornado takes
     for the end of connecting, so that data would count as sent on a connection that was never established.  A
-    close callback watches the socket, so it has to be set after this call: `on_close`.
+    close callback watches the socket, so it has to be set after this call, with `on_close`.
     """
     stream = IOStream(new_socket(address), max_buffer_size=max_buffered_bytes)
     return stream, stream.connect(address)
--- a/badgeryoke/gateway/decision_module.py
+++ b/badgeryoke/gateway/decision_module.py
@@ -18,8 +18,10 @@
 class Counter(Protocol):
     """The dispatcher's interface to the shared quota counter."""
 
-    def add(self, name: int, units: float, life_ms: float, done: Callable[[api.CounterReply], None]) -> None:
-        """Make one call; `done` is called once, asynchronously."""
+    def add(
+        self, name: int, units: float, ttl_ms: float, on_reply: Callable[[api.CounterReply], None]
+    ) -> None:
+        """Make one call; `on_reply` is called once, asynchronously."""
 
 
 class DecisionModule(Protocol):
--- a/badgeryoke/gateway/diameter/client_connection.py
+++ b/badgeryoke/gateway/diameter/client_connection.py
@@ -18,7 +18,7 @@
     from badgeryoke.gateway.diameter.listener import DiameterListener
 
 ENOUGH_CREDIT = 0  # a value of Check-Balance-Result
-MAX_REQUESTS_IN_FLIGHT = 1024  # per connection
+MAX_REQUESTS_IN_FLIGHT = 1024  # maximum per connection
 
 
 class DiameterClientConnection(Peer):
--- a/badgeryoke/gateway/diameter/codec.py
+++ b/badgeryoke/gateway/diameter/codec.py
@@ -14,7 +14,7 @@
 
 HEADER_BYTES = 20
 MAX_MESSAGE_BYTES = 96 * 1024  # fits a value of 64 KiB and the other AVPs
-MAX_AVPS = 128  # per message and per Grouped AVP
+MAX_AVPS = 128  # maximum per message and per Grouped AVP
 # Command flags: the R, P, E and T bits.
 FLAG_REQUEST = 0x80
 FLAG_PROXIABLE = 0x40
--- a/badgeryoke/gateway/diameter/credit_control_request.py
+++ b/badgeryoke/gateway/diameter/credit_control_request.py
@@ -62,7 +62,7 @@
     AvpCode.SERVICE_IDENTIFIER,
     AvpCode.EVENT_TIMESTAMP,
 )
-MAX_IDENTIFIER_CHARACTERS = 512  # in a Session-Id or an Origin-Host
+MAX_IDENTIFIER_CHARACTERS = 512  # characters in a Session-Id or an Origin-Host
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgeryoke/gateway/diameter/duplicate_requests.py
+++ b/badgeryoke/gateway/diameter/duplicate_requests.py
@@ -11,7 +11,7 @@
 
 # At either limit, new requests are rejected until entries expire.
 MAX_REQUESTS = 50_000
-MAX_VALUE_BYTES = 16 * 1024 * 1024  # of all cached values together
+MAX_VALUE_BYTES = 16 * 1024 * 1024  # size of all cached values together
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgeryoke/gateway/diameter/peer.py
+++ b/badgeryoke/gateway/diameter/peer.py
@@ -53,7 +53,7 @@
         super().__init__(loop)
         self.stream, self.identity = stream, identity
         self.state = PeerState.WAIT_EXCHANGE
-        self.origin_host = ""  # of the peer; empty until the capabilities exchange
+        self.origin_host = ""  # the peer's Origin-Host; empty until the capabilities exchange
         self.last_received_s = loop.time()
         self._framer = codec.Framer()
         self._outgoing: list[bytes] = []
--- a/badgeryoke/gateway/diameter/upstream_connection.py
+++ b/badgeryoke/gateway/diameter/upstream_connection.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 IDLE_FRACTION = 0.5  # connections are closed after this fraction of the idle timeout in the settings
-MAX_ATTEMPTS_IN_FLIGHT = 1024  # per connection; also the limit of those that wait for a connection
+MAX_ATTEMPTS_IN_FLIGHT = 1024  # maximum per connection, and of attempts that wait for a connection
 
 
 class UpstreamPeer(Peer):
@@ -155,7 +155,7 @@
         lease: UpstreamLease | None = None,
     ) -> None:
         super().__init__(loop)
-        self.lease = lease  # enforces the connection limit that the fleet shares
+        self.lease = lease  # enforces the server's connection limit over all gateways of the cluster
         self.address, self.clock, self.identity = address, clock, identity
         self.services = services
         self._connect_ms, self._watchdog_s = connect_ms, watchdog_s
--- a/badgeryoke/gateway/discovery/client.py
+++ b/badgeryoke/gateway/discovery/client.py
@@ -3,7 +3,7 @@
 The protocol sets when a change counts as notified, that is, has to be known:
 - missed by a silent watch: 6 s after the silence began, or 2 s after the end of its poll's wait if that is later;
 - any other change: after 6 s;
-- held by the agent already: at once;
+- held already by the agent, the process that answers the polls: at once;
 - after SIGHUP: 4 s later.
 
 Silence means that this connection is broken: another one is opened at once.  An error status, a refused or lost
@@ -48,7 +48,7 @@
 # A process without any list becomes ready after this time and rejects requests at once; until then requests go to
 # other gateways.  It has to be ready within 10 s of its start, and the start itself may take half of that.
 READY_AFTER_S = 5.0
-MIN_POLL_INTERVAL_S = 0.02  # for an agent that does not hold polls, or closes after each response
+MIN_POLL_INTERVAL_S = 0.02  # limits polls to an agent that does not hold them, or closes after each response
 # After silence, this many short polls find out whether only that connection was broken.  Later polls have the full
 # wait, so that 200 gateways send 50 polls per second in an outage, and 70 in normal operation.
 SHORT_POLLS_AFTER_SILENCE = 2
@@ -79,7 +79,7 @@
         self._logged_fault = ""
         self._stopped = False
         self._started_at, self._polled_at = 0.0, -math.inf
-        self.ready = False  # can serve requests: an endpoint list is known, or none came in READY_AFTER_S
+        self.ready = False  # true once an endpoint list is known, or none came in READY_AFTER_S
         self.has_list = False
 
     def start(self) -> None:
--- a/badgeryoke/gateway/discovery/long_poll.py
+++ b/badgeryoke/gateway/discovery/long_poll.py
@@ -18,7 +18,7 @@
 # How long discovery may hold a long poll.  Short, so that a connection that broke silently is detected 2 s before a
 # change has to be known.
 LONG_POLL_WAIT_MS = 3000
-PROBE_WAIT_MS = 100  # the same after a failure: the first answer proves that discovery is reachable
+PROBE_WAIT_MS = 100  # the wait after a failure: the first answer proves that discovery is reachable
 FULL_LIST_WAIT_MS = 1000  # the longest wait for the complete list, which need not wait for a change
 # A connection without a byte for this long beyond the wait, or while connecting, is abandoned as silent.
 SILENCE_TIMEOUT_S = 1.0
@@ -69,7 +69,7 @@
                 await within(deadline - now(), stream.read_bytes(READ_CHUNK_BYTES, partial=True))
             )
         except StreamClosedError as closed:
-            # A reset completes no response.
+            # A response is never completed by a reset.
             if closed.real_error is not None or not response.connection_closed():
                 raise
             break
--- a/badgeryoke/gateway/dispatcher.py
+++ b/badgeryoke/gateway/dispatcher.py
@@ -324,7 +324,7 @@
         for action in actions:
             self._execute(now, action)
         if self._monitored_engine is not None and self._monitored_engine.detector.changes:
-            from badgeryoke.gateway.counter_state_log import log_counter_changes  # for the monitor only
+            from badgeryoke.gateway.counter_state_log import log_counter_changes  # with the monitor only
 
             log_counter_changes(self._monitored_engine)
 
@@ -371,7 +371,7 @@
 
     def flush_timers(self) -> None:
         """Fire the decision module's timers now, when all requests are answered and the gateway ends.  Otherwise
-        the other gateways would never learn of the units that the module has not reported yet."""
+        the units that the module has not reported yet would never be counted for the other gateways."""
         for token, timer in list(self._timers.items()):
             timer.cancel()
             self.post(self._timer_fired, token)
--- a/badgeryoke/gateway/hot_restart/transfer.py
+++ b/badgeryoke/gateway/hot_restart/transfer.py
@@ -19,9 +19,9 @@
 
 log = logging.getLogger(__name__)
 
-STEP_TIMEOUT_S = 1.5  # for each step of the peer; the new process has 6 s in total
+STEP_TIMEOUT_S = 1.5  # timeout of each step of the peer; the new process has 6 s in total
 MAX_SOCKET_PATH_BYTES = 100  # below the system's limit for a Unix socket's address
-MAX_NAME_CHARACTERS = 32  # of a gateway's name, in its socket's path
+MAX_NAME_CHARACTERS = 32  # characters of a gateway's name in its socket's path
 MAX_LINE_BYTES = 256
 TAKE_LINE = b"TAKE %d\n" % state_snapshot.VERSION
 SERVING_LINE = b"SERVING\n"
@@ -66,7 +66,7 @@
         self._server: asyncio.AbstractServer | None = None
         self._successor: asyncio.StreamWriter | None = None  # the connection of a successor that serves
         self._busy = False
-        self.ready = False  # a successor can connect
+        self.ready = False  # whether a successor can connect
 
     async def listen(self) -> None:
         """Listen at the path, atomically replacing an earlier socket there.  A failure is logged; a successor then
--- a/badgeryoke/gateway/lifecycle.py
+++ b/badgeryoke/gateway/lifecycle.py
@@ -38,7 +38,7 @@
 UPSTREAM_SWEEP_INTERVAL_S = 1.0
 CLIENT_SWEEP_INTERVAL_S = 0.1
 LAG_SAMPLE_INTERVAL_S = 0.01
-POLL_INTERVAL_S = 0.02  # between checks of a condition that the shutdown waits for
+POLL_INTERVAL_S = 0.02  # time between checks of a condition that the shutdown waits for
 FAST_POLL_INTERVAL_S = 0.01  # the same at start and while leaving the cluster
 DIAMETER_BACKLOG = 128
 ADMIN_BACKLOG = 64
@@ -47,10 +47,10 @@
 MAX_COUNTED_DEADLINE_S = 3.0
 KILL_MARGIN_S = 0.55
 LAST_RESPONSES_WAIT_S = 0.05  # time to send the last responses
-# Of the bound on client connections, used by the new process while its predecessor still runs.
+# Fraction of the bound on client connections that the new process uses while its predecessor still runs.
 OVERLAP_CLIENTS_FRACTION = 0.5
-LEASE_RETURN_TIMEOUT_S = 0.5  # for leases of unused connections, before the gateway leaves the cluster
-DISCOVERY_WAIT_S = 1.0  # for discovery's first answer, before a predecessor's state is requested
+LEASE_RETURN_TIMEOUT_S = 0.5  # time to return leases of unused connections before leaving the cluster
+DISCOVERY_WAIT_S = 1.0  # time for discovery's first answer before a predecessor's state is requested
 
 
 class Lifecycle:
@@ -62,8 +62,8 @@
         self._terminated_at_s = math.inf  # the loop's time of the first SIGTERM
         self._admin_server: AdminServer | None = None
         self.snapshot_sender: SnapshotSender | None = None
-        self.listening = False  # for clients
-        self.done = asyncio.Event()  # all accepted requests are answered, and the process may end
+        self.listening = False  # whether the gateway listens for clients
+        self.done = asyncio.Event()  # set when all accepted requests are answered and the process may end
         self._tasks: set[asyncio.Task[None]] = set()  # a task without a reference could be garbage-collected
         # The addresses that were bound (for a configured port 0 the actual port); set at start.
         self.address: Any  # as getsockname() returns it: the form depends on the address family
@@ -316,7 +316,7 @@
         self._parts.loop.call_later(POLL_INTERVAL_S, self._poll_reports, deadline_s)
 
     def _poll_reports(self, deadline_s: float) -> None:
-        """Wait for the last reports, at most for a call's timeout: closing at once would cut them off."""
+        """Wait for the last reports, at most for a call's timeout: closing at once would lose them."""
         loop, counter = self._parts.loop, self._parts.counter
         if counter is not None:
             if counter.has_pending_calls and loop.time() < deadline_s:
--- a/badgeryoke/gateway/metrics.py
+++ b/badgeryoke/gateway/metrics.py
@@ -19,7 +19,7 @@
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.finished: dict[str, list[int]] = {}  # by class: counts, indexed by RequestResult
-        self.attempts_sent = 0  # written completely to a server
+        self.attempts_sent = 0  # attempts written completely to a server
         self.reloads = self.reload_errors = 0  # configurations applied, and rejected
         self.add_classes(classes)
 
--- a/badgeryoke/gateway/parts.py
+++ b/badgeryoke/gateway/parts.py
@@ -25,16 +25,16 @@
     from badgeryoke.gateway.cluster.connection_leases import ConnectionLeases
     from badgeryoke.gateway.cluster.service import ClusterService
 
-# Of the process's file descriptors, for the connections of each kind of client.
+# Fractions of the process's file descriptors for the connections of each kind of client.
 RESP_CLIENTS_FRACTION = 0.5
 DIAMETER_CLIENTS_FRACTION = 0.1
 CROWDED_CLIENTS_FRACTION = 0.2  # above it idle RESP clients are closed sooner (resp/listener.py)
 # Buffers get the memory beyond that of the program itself; the fractions are of this rest.
 PROGRAM_MB = 24.0
 MIN_BUFFER_MB = 4.0
-BODIES_FRACTION = 0.25  # for bodies of pending requests
-PARTIAL_COMMANDS_FRACTION = 0.15  # for incomplete commands
-STREAMS_FRACTION = 0.2  # for response streams; the connections' own buffers take as much again
+BODIES_FRACTION = 0.25  # bodies of pending requests
+PARTIAL_COMMANDS_FRACTION = 0.15  # incomplete commands
+STREAMS_FRACTION = 0.2  # response streams; the connections' own buffers take as much again
 BYTES_PER_MB = 1024 * 1024
 
 
@@ -44,9 +44,9 @@
     def __init__(self, loop: ActorScheduler) -> None:
         self._loop = loop
 
-    def add(self, name: int, units: float, life_ms: float, done: Callable[[CounterReply], None]) -> None:
+    def add(self, name: int, units: float, ttl_ms: float, on_reply: Callable[[CounterReply], None]) -> None:
         """Fail one call, asynchronously."""
-        self._loop.call_soon(done, CounterReply(name, Verdict.CONNECT_FAILED, 0.0))
+        self._loop.call_soon(on_reply, CounterReply(name, Verdict.CONNECT_FAILED, 0.0))
 
 
 @dataclass
--- a/badgeryoke/gateway/pending_request.py
+++ b/badgeryoke/gateway/pending_request.py
@@ -71,8 +71,8 @@
         self.respond: Callable[[Response], None] | None = respond  # None: the final response has been given
         self.may_have_run = False
         self.attempt_count = 0
-        self.attempt: Attempt | None = None  # in flight
+        self.attempt: Attempt | None = None  # the attempt in flight
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.response_stream: ResponseStream | None = None  # set once the final response has begun
-        self.first_byte_ms = 0.0  # from the attempt's start to the stream's first bytes
-        self.reserved_units: ReservedUnits | None = None  # drawn under a lease
+        self.first_byte_ms = 0.0  # time from the attempt's start to the stream's first bytes
+        self.reserved_units: ReservedUnits | None = None  # units drawn under a lease
--- a/badgeryoke/gateway/quota_counter/client.py
+++ b/badgeryoke/gateway/quota_counter/client.py
@@ -22,7 +22,7 @@
 
 MAX_SILENT_TIMEOUTS = 20.0  # a connection is closed after this many call timeouts without any byte
 MAX_PENDING_CALLS = 512  # calls without a reply; further ones are rejected by the client
-INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before reconnecting, after a connection that answered no call
+INITIAL_BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # reconnect pause after a connection that answered no call
 CONNECT_TIMEOUT_S = 0.5
 MIN_TIMEOUT_MS = 1.0
 TIMER_SLACK_MS = 0.5  # a call that is due this soon is ended by the current timer
--- a/badgeryoke/gateway/request_validation.py
+++ b/badgeryoke/gateway/request_validation.py
@@ -5,7 +5,7 @@
 from badgeryoke.decisions import interface as api
 from badgeryoke.gateway.attempt import Request
 
-MAX_ECHOED_CHARACTERS = 32  # of a client's text, in an error reply
+MAX_ECHOED_CHARACTERS = 32  # length to which an error reply cuts a client's text
 DEADLINE_ROUNDING_MS = 1.0  # clients round the remaining time up
 
 
--- a/badgeryoke/gateway/reserved_admission.py
+++ b/badgeryoke/gateway/reserved_admission.py
@@ -1,7 +1,7 @@
 """Admission of requests whose customer has a reservation: their units are drawn from this gateway's lease before
-the decision module sees them.
+the decision module handles them.
 
-Loaded only if the cluster is on.  A request that finds no units in the lease's bucket waits for them if its deadline
+Loaded only if the cluster is on.  A request waits for units that the lease's bucket lacks if its deadline
 allows, and becomes an ordinary request if it gets none.  Units that were drawn and not served are counted as a
 shortfall, with their cause.
 """
@@ -20,7 +20,7 @@
 
 log = logging.getLogger(__name__)
 
-POLL_INTERVAL_S = 0.004  # between two polls of the waiting requests, while there are any
+POLL_INTERVAL_S = 0.004  # time between two polls of the waiting requests, while there are any
 # The remaining time that a request must have to wait: the longest wait, and as much again to be served.
 MIN_REMAINING_MS = 2.0 * MAX_WAIT_MS
 FAULT_LOG_INTERVAL = 1000  # the first fault is logged, then one in this many
@@ -31,7 +31,7 @@
 
     request: Request
     reserved_units: ReservedUnits | None
-    unserved_cause: str  # why it was not served, if it was not; set together with `reserved_units`
+    unserved_cause: str  # why the request was not served; set together with `reserved_units`
 
 
 class ReservationLeases(Protocol):
@@ -85,7 +85,7 @@
         return pending.reserved_units is not None
 
     def enqueue(self, pending: ReservedRequest, remaining_ms: float) -> bool:
-        """Let a request that found no units wait for them; False if it does not wait."""
+        """Let a request that got no units wait for them; False if it does not wait."""
         if remaining_ms < MIN_REMAINING_MS or not self._leases.leases:
             return False
         try:
--- a/badgeryoke/gateway/resp/client_connection.py
+++ b/badgeryoke/gateway/resp/client_connection.py
@@ -51,7 +51,7 @@
 # Bytes read and handled in one turn: hundreds of commands in one turn would block all other connections.  The
 # streams read chunks of the same size, so that no bytes are buffered between the socket and the turn.
 READ_CHUNK_BYTES = 4096
-DISCONNECT_CHECK_INTERVAL_S = 0.05  # while backpressure suspends reading from a client
+DISCONNECT_CHECK_INTERVAL_S = 0.05  # applies while backpressure suspends reading from a client
 MAX_UNSENT_BYTES = 128 * 1024  # bound of the stream's write buffer; a single response may be longer
 STREAM_CHUNK_BYTES = 32 * 1024  # chunk of a streamed value; the next one is written when this one is sent
 PONG, OK = b"+PONG\r\n", b"+OK\r\n"
@@ -111,8 +111,8 @@
             return b"$%d\r\n" % response_stream.length_bytes
         case Served(value=value):
             return bulk(value)
-        case Rejected(retry_after_ms=wait):
-            return b"-BUSY %d\r\n" % max(round(wait), 1)
+        case Rejected(retry_after_ms=retry_after_ms):
+            return b"-BUSY %d\r\n" % max(round(retry_after_ms), 1)
     return error(f"ERR failed {response.detail}")
 
 
--- a/badgeryoke/gateway/resp/listener.py
+++ b/badgeryoke/gateway/resp/listener.py
@@ -26,8 +26,8 @@
 # so that many idle clients cannot use up the whole bound and lock others out.
 MIN_IDLE_WHEN_CROWDED_S = 0.3
 MAX_READ_BUFFER_BYTES = 128 * 1024  # bound of data read from a client and not yet handled
-WRITE_STALL_TIMEOUT_S = 2.5  # for a client to read its responses
-STREAM_STALL_TIMEOUT_S = 10.0  # for a client to read a chunk of a streamed value
+WRITE_STALL_TIMEOUT_S = 2.5  # time for a client to read its responses
+STREAM_STALL_TIMEOUT_S = 10.0  # time for a client to read a chunk of a streamed value
 BACKLOG = 512  # length of the kernel's accept queue
 MAX_ACCEPTS_PER_TURN = 64  # connections accepted before other work runs
 # Beyond the bound on connections, further ones are accepted only to be rejected: this fraction of the bound, but at
--- a/badgeryoke/gateway/response_stream.py
+++ b/badgeryoke/gateway/response_stream.py
@@ -5,8 +5,8 @@
 from collections import deque
 from collections.abc import Callable
 
-MAX_WINDOW_BYTES = 128 * 1024  # that one stream may buffer
-MIN_WINDOW_BYTES = 4 * 1024  # each stream must make progress, however many are open
+MAX_WINDOW_BYTES = 128 * 1024  # bytes that one stream may buffer
+MIN_WINDOW_BYTES = 4 * 1024  # lower bound, so that each stream makes progress, however many are open
 
 
 class BufferBudget:
@@ -34,7 +34,7 @@
         self.aborted = False  # it will never be complete
         self.on_change: Callable[[], None] | None = None  # set by the client's connection
         self.on_capacity: Callable[[], None] | None = None  # set by the upstream: more bytes may be appended
-        self.on_delivered: Callable[[], None] | None = None  # set by the dispatcher: all is delivered
+        self.on_delivered: Callable[[], None] | None = None  # set by the dispatcher: the value is delivered
         self._closed = False
         budget.open_streams += 1
 
--- a/badgeryoke/gateway/upstream_directory.py
+++ b/badgeryoke/gateway/upstream_directory.py
@@ -18,7 +18,7 @@
     from badgeryoke.gateway.cluster.connection_leases import ConnectionLeases
     from badgeryoke.gateway.cluster.upstream_lease import UpstreamLease
 
-UPSTREAM_DESCRIPTORS_FRACTION = 0.3  # of the process's file descriptors, divided among the listed servers
+UPSTREAM_DESCRIPTORS_FRACTION = 0.3  # fraction of the file descriptors, divided among the listed servers
 MIN_CONNECTIONS_PER_SERVER = 4
 
 UpstreamConnection = RespUpstream | DiameterUpstream
@@ -34,7 +34,7 @@
 class UpstreamDirectory:
     """All upstreams of a gateway.
 
-    identity: of this gateway as a Diameter peer; None if Diameter is not configured.
+    identity: this gateway's Diameter identity; None if Diameter is not configured.
     """
 
     def __init__(
--- a/badgeryoke/gateway/wall_clock.py
+++ b/badgeryoke/gateway/wall_clock.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 RESYNC_INTERVAL_S = 5.0
-CATCH_UP_RATE = 0.5  # relative to the monotonic clock, while the clock is ahead of the system time
+CATCH_UP_RATE = 0.5  # rate relative to the monotonic clock while the clock is ahead of the system time
 
 
 class WallClock:
