--- a/badgeryoke/decisions/simulator_adapter.py
+++ b/badgeryoke/decisions/simulator_adapter.py
@@ -1,6 +1,6 @@
 """Serves the simulator's text protocol: reads batches of events from stdin, writes one reply to each.
 
-It only translates.  One process hosts many gateways ("doors" on the wire), each with its own decision engine.
+It contains no decision logic.  One process hosts many gateways ("doors" on the wire), each with its own decision engine.
 A malformed line ends the process with one message on stderr; an exception in an engine is reported with DIE.
 """
 
