--- a/badgeryoke/gateway/diameter/upstream_connection.py
+++ b/badgeryoke/gateway/diameter/upstream_connection.py
@@ -63,7 +63,7 @@
             attempt.not_sent("too late to be sent")
             return
         if len(self.in_flight) >= MAX_ATTEMPTS_IN_FLIGHT:
-            attempt.not_sent("too many attempts out")
+            attempt.not_sent("too many attempts in flight")
             return
         request, owner = attempt.request, self._owner
         hop_by_hop_id = self.next_id()
@@ -194,7 +194,7 @@
                 self.address, 4 * codec.MAX_MESSAGE_BYTES
             )
         except OSError as fault:
-            self.log_first_fault(f"no socket: {fault}")
+            self.log_first_fault(f"cannot be dialled: no socket: {fault}")
             waiting, self._waiting = self._waiting, []
             for attempt in waiting:
                 attempt.connection_lost(f"no socket: {fault}")
