--- a/badgeryoke/decisions/counter_health/detector.py
+++ b/badgeryoke/decisions/counter_health/detector.py
@@ -5,7 +5,7 @@
 and increases no sooner than MIN_STATE_DURATION_MS after its last change.  The *state*, which is logged and shown
 to operators, follows TRANSITIONS and never changes twice within MIN_STATE_DURATION_MS.
 
-Gateways share nothing but the counter, so all that one gateway can learn of another is whether its digit in the
+Gateways share nothing but the counter, so the only evidence that another gateway is alive is that its digit in the
 presence register still grows (see `presence_register`).  A digit that does not grow has three possible causes,
 which no call can distinguish: the other gateway is dead, it is cut off from the counter, or it writes to another
 part of a partitioned counter.  Grants are safe in all three cases.  The state also depends on the request rate:
--- a/badgeryoke/decisions/counter_health/peer_heartbeats.py
+++ b/badgeryoke/decisions/counter_health/peer_heartbeats.py
@@ -1,6 +1,6 @@
 """The failure detector: counts the missed heartbeats of each neighbour gateway.
 
-All that a gateway learns of another is whether its digit in the presence register still grows.
+The only evidence that another gateway is alive is that its digit in the presence register still grows.
 """
 
 from __future__ import annotations
--- a/badgeryoke/decisions/counter_health/reply_monitor.py
+++ b/badgeryoke/decisions/counter_health/reply_monitor.py
@@ -24,7 +24,7 @@
         self.is_slow = False
         self._failure_count = 0
         self._refused_count = 0
-        self._mean_delay = 0.0  # as a fraction of the timeout
+        self._mean_delay = 0.0  # EWMA of the delay, as a fraction of the timeout
 
     def record(self, now: float, succeeded: bool, rtt_ms: float, connect_failed: bool) -> None:
         """Process the outcome of one call.  A refused connection does not show the counter's speed."""
--- a/badgeryoke/gateway/attempt.py
+++ b/badgeryoke/gateway/attempt.py
@@ -80,7 +80,7 @@
     on_end: called once, with the attempt and its outcome.
     potential_duplicate: an earlier attempt of the same request may have run.
     on_written: called when the last byte has been written.
-    write_by_ms: Unix ms after which servers no longer know the idempotency key.  The attempt must not be written
+    write_by_ms: Unix ms after which servers no longer recognize the idempotency key.  The attempt must not be written
     later; it can get late while its connection is being established.
     """
 
--- a/badgeryoke/gateway/cluster/admin_calls.py
+++ b/badgeryoke/gateway/cluster/admin_calls.py
@@ -22,7 +22,7 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 
 MAX_ID_CHARS = 128
-_MAX_QUOTED_CHARS = 64  # of a call's invalid text, in an error
+_MAX_QUOTED_CHARS = 64  # length to which an error cuts a call's invalid text
 _GENERATED_ID_BYTES = 8
 _STATUS_NAME = "status"
 # Tags of the commands that operators may send.  All others are internal to the cluster: sent from outside, they would
--- a/badgeryoke/gateway/cluster/storage/writer.py
+++ b/badgeryoke/gateway/cluster/storage/writer.py
@@ -13,7 +13,7 @@
 from badgeryoke.gateway.cluster.storage.store import ClusterStorage
 
 MAX_PENDING_BYTES = 64 * 1024 * 1024  # bytes not written yet; beyond this limit the storage counts as failed
-RECORD_OVERHEAD_BYTES = 64  # approximate, per request, record or entry
+RECORD_OVERHEAD_BYTES = 64  # approximate overhead per request, record or entry
 CLOSE_TIMEOUT_S = 1.0
 
 
--- a/badgeryoke/gateway/cluster/upstream_lease.py
+++ b/badgeryoke/gateway/cluster/upstream_lease.py
@@ -63,7 +63,7 @@
     def __init__(self, owner: LeaseOwner, server: str) -> None:
         self._owner, self.server = owner, server
         self.upstream: LeasedUpstream | None = None
-        self.open_count = 0  # including those that the server has not closed yet
+        self.open_count = 0  # connections, including those that the server has not closed yet
         self.surplus_count = 0  # connections in use that have to be closed once they are free
         self.retired = False  # the upstream is removed; its open connections still count
 
--- a/badgeryoke/gateway/diameter/duplicate_requests.py
+++ b/badgeryoke/gateway/diameter/duplicate_requests.py
@@ -57,7 +57,7 @@
         self._retention_s, self._now, self._max_requests = retention_s, now, max_requests
         self._by_end_to_end_id: dict[tuple[str, int], Entry] = {}
         self._by_session: dict[tuple[str, str, int], Entry] = {}
-        self._answered: deque[tuple[float, Entry]] = deque()  # with the time of expiry, oldest first
+        self._answered: deque[tuple[float, Entry]] = deque()  # time of expiry and entry, oldest first
         self._value_bytes = 0  # total size of the cached values
 
     def find(self, identity: RequestIdentity) -> Entry | _Conflicting | None:
--- a/badgeryoke/gateway/diameter/request_register.py
+++ b/badgeryoke/gateway/diameter/request_register.py
@@ -84,7 +84,7 @@
         """Cache the answer of a debit, unless it is a rejection: a retransmission is then handled as a new request.
 
         A Diameter client takes TOO_BUSY to mean that the request did not run, and may retry at any time. If an
-        attempt may have run, a retry is safe only while servers know the idempotency key, so the client gets a
+        attempt may have run, a retry is safe only while servers recognize the idempotency key, so the client gets a
         failure instead of TOO_BUSY.
         """
         if isinstance(answer, Rejected) and answer.may_have_run and dispatcher_request.idempotency_key:
--- a/badgeryoke/gateway/discovery/endpoint_list.py
+++ b/badgeryoke/gateway/discovery/endpoint_list.py
@@ -11,7 +11,7 @@
 # Bound on any number: up to here integers are exact in a float, and JSON numbers have no bound of their own.
 MAX_NUMBER = 1e15
 STATES = {"active": EndpointState.UP, "leaving": EndpointState.DRAINING, "left": EndpointState.GONE}
-NO_ADDRESS: Address = ("", 0)  # for an endpoint that is gone, whose entry may lack an address
+NO_ADDRESS: Address = ("", 0)  # address of an endpoint that is gone, whose entry may lack one
 
 
 @dataclass(frozen=True, slots=True)
--- a/badgeryoke/gateway/discovery/http_response.py
+++ b/badgeryoke/gateway/discovery/http_response.py
@@ -25,7 +25,7 @@
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._head_complete = self._complete = False
-        self._length_known = False  # from Content-Length or chunks; else the body ends with the connection
+        self._length_known = False  # true if Content-Length or chunks delimit the body, else the close does
         self._bytes_read = 0
         self.body = bytearray()
         self.status = 0
--- a/badgeryoke/gateway/dispatcher.py
+++ b/badgeryoke/gateway/dispatcher.py
@@ -42,7 +42,7 @@
 # may be busy.  For a short deadline the margin is at most this fraction of it.
 MAX_RESPONSE_GUARD_MS = 15.0
 MAX_RESPONSE_GUARD_FRACTION = 0.1
-FALLBACK_RETRY_AFTER_MS = 100.0  # for rejections that the decision module did not make
+FALLBACK_RETRY_AFTER_MS = 100.0  # Retry-After of rejections that the decision module did not make
 MAX_PENDING_REQUESTS = 10_000
 MAX_BODIES_BYTES = 32 * 1024 * 1024  # default bound on the bodies of all pending requests together
 DEFAULT_OBJECTIVE_MS = 1000.0  # the latency objective if the settings have no class
@@ -168,7 +168,7 @@
         Returns a function that reports that the client has disconnected; after it `respond` is not called.
         """
         self._last_id += 1
-        # Not the client's id: a client that repeats an id must not cost another request its response.
+        # Not the client's id: a repeated id must not leave another request without a response.
         request_id = str(self._last_id)
         guard_ms = min(MAX_RESPONSE_GUARD_MS, MAX_RESPONSE_GUARD_FRACTION * request.remaining_ms)
         request_class = self._validator.classes[request.request_class]
@@ -316,7 +316,7 @@
         now = self._clock()
         try:
             actions = self._module.handle(now, event)
-        except Exception:  # no fault of the decision module may cost a request its response
+        except Exception:  # a fault of the decision module must not leave a request without a response
             self._record_decision_fault(event)
             if pending is not None and pending.respond is not None and pending.attempt is None:
                 self._answer_without_decision(pending)
@@ -324,7 +324,8 @@
         for action in actions:
             self._execute(now, action)
         if self._monitored_engine is not None and self._monitored_engine.detector.changes:
-            from badgeryoke.gateway.counter_state_log import log_counter_changes  # with the monitor only
+            # Loaded only with the monitor.
+            from badgeryoke.gateway.counter_state_log import log_counter_changes
 
             log_counter_changes(self._monitored_engine)
 
--- a/badgeryoke/gateway/lifecycle.py
+++ b/badgeryoke/gateway/lifecycle.py
@@ -39,7 +39,7 @@
 CLIENT_SWEEP_INTERVAL_S = 0.1
 LAG_SAMPLE_INTERVAL_S = 0.01
 POLL_INTERVAL_S = 0.02  # time between checks of a condition that the shutdown waits for
-FAST_POLL_INTERVAL_S = 0.01  # the same at start and while leaving the cluster
+FAST_POLL_INTERVAL_S = 0.01  # the same interval at start and while leaving the cluster
 DIAMETER_BACKLOG = 128
 ADMIN_BACKLOG = 64
 # SIGKILL follows SIGTERM no sooner than after the longest deadline, counted as at most 3 s, plus 0.7 s.  Requests that
@@ -337,7 +337,7 @@
             self.done.set()
 
     async def _leave_cluster(self, cluster: ClusterService) -> None:
-        """Return the connection leases, then leave the cluster, which hands over leadership; in bounded time."""
+        """Return the connection leases, then leave the cluster, which transfers leadership; in bounded time."""
         leases, loop = self._parts.connection_leases, self._parts.loop
         if leases is not None:
             leases.drain()
--- a/badgeryoke/gateway/reserved_admission.py
+++ b/badgeryoke/gateway/reserved_admission.py
@@ -119,7 +119,7 @@
         try:
             # A plain str, not an enum: the cause becomes a key in the cluster's records.
             self._leases.record_unserved(self._now(), reserved_units, str(cause))
-        except Exception:  # a missing count must not cost the request its response
+        except Exception:  # a missing count must not leave the request without a response
             self._record_fault()
 
     def _record_fault(self) -> None:
--- a/badgeryoke/gateway/resp/client_connection.py
+++ b/badgeryoke/gateway/resp/client_connection.py
@@ -173,7 +173,7 @@
         self._rejecting = False  # new requests are rejected
         self._grace_expired = False  # the connection closes without waiting for an incomplete command
         self._handling_data = False  # the last chunk read is being handled
-        self._unsent_bytes = 0  # written to the stream but not yet to the socket
+        self._unsent_bytes = 0  # bytes written to the stream but not yet to the socket
         self._last_write_s = -math.inf  # when a response was last written
         self._may_read = asyncio.Event()
         self.has_sent_command = False  # a complete command has been received
--- a/badgeryoke/gateway/resp/upstream_connection.py
+++ b/badgeryoke/gateway/resp/upstream_connection.py
@@ -144,7 +144,7 @@
         self.upstream = upstream
         self.attempt: Attempt | None = None
         self.last_used_ms = 0.0
-        self.last_response_s = -math.inf  # on the event loop's clock
+        self.last_response_s = -math.inf  # time of the last response, on the event loop's clock
         self.connected = False
         self.response_started = False  # a part of the response has been received
         self.last_received_ms = 0.0  # when the last byte of the response was received
--- a/badgeryoke/gateway/response_stream.py
+++ b/badgeryoke/gateway/response_stream.py
@@ -31,7 +31,7 @@
         self._pieces: deque[bytes] = deque()
         self.buffered_bytes = 0
         self.complete = False  # the last byte and the value's line end have been received
-        self.aborted = False  # it will never be complete
+        self.aborted = False  # the value will never be complete
         self.on_change: Callable[[], None] | None = None  # set by the client's connection
         self.on_capacity: Callable[[], None] | None = None  # set by the upstream: more bytes may be appended
         self.on_delivered: Callable[[], None] | None = None  # set by the dispatcher: the value is delivered
