--- a/badgeryoke/decisions/policy/quota.py
+++ b/badgeryoke/decisions/policy/quota.py
@@ -144,7 +144,7 @@
         return min(max(period_ms, MIN_PERIOD_MS), MAX_PERIOD_MS)
 
     def own_share(self) -> float:
-        """Return this gateway's share of the quota: its last measured rate and an even part of the unused rate."""
+        """Return this gateway's share of the quota: its measured rate and an even part of the unused rate."""
         unused = max(self.plan.rate - self.own_rate - self.others_rate, 0.0) / self.gateway_set_size
         share = max((self.own_rate + unused) / self.plan.rate, MIN_SHARE_FRACTION / self.gateway_set_size)
         return min(share, 1.0)
--- a/badgeryoke/gateway/application.py
+++ b/badgeryoke/gateway/application.py
@@ -85,7 +85,7 @@
         return self.parts.dispatcher.unanswered
 
     def pause(self) -> str:
-        """Reject clients while the process keeps running; returns the reason if that is impossible, or an empty string."""
+        """Reject clients but keep running; returns the reason if that is impossible, or an empty string."""
         self.lifecycle.post(ShutdownEvent.PAUSE)
         return ""
 
