--- a/badgeryoke/gateway/diameter/duplicate_requests.py
+++ b/badgeryoke/gateway/diameter/duplicate_requests.py
@@ -11,7 +11,7 @@
 
 # At either limit, new requests are rejected until entries expire.
 MAX_REQUESTS = 50_000
-MAX_VALUE_BYTES = 16 * 1024 * 1024  # of all cached values together
+MAX_VALUE_BYTES = 16 * 1024 * 1024  # size of all cached values together
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,7 +57,7 @@
         self._retention_s, self._now, self._max_requests = retention_s, now, max_requests
         self._by_end_to_end_id: dict[tuple[str, int], Entry] = {}
         self._by_session: dict[tuple[str, str, int], Entry] = {}
-        self._answered: deque[tuple[float, Entry]] = deque()  # with the time of expiry, oldest first
+        self._answered: deque[tuple[float, Entry]] = deque()  # time of expiry and entry, oldest first
         self._value_bytes = 0  # total size of the cached values
 
     def find(self, identity: RequestIdentity) -> Entry | _Conflicting | None:
--- a/badgeryoke/gateway/diameter/upstream_connection.py
+++ b/badgeryoke/gateway/diameter/upstream_connection.py
@@ -24,7 +24,7 @@
 log = logging.getLogger(__name__)
 
 IDLE_FRACTION = 0.5  # connections are closed after this fraction of the idle timeout in the settings
-MAX_ATTEMPTS_IN_FLIGHT = 1024  # per connection; also the limit of those that wait for a connection
+MAX_ATTEMPTS_IN_FLIGHT = 1024  # maximum per connection, and of attempts that wait for a connection
 
 
 class UpstreamPeer(Peer):
@@ -63,7 +63,7 @@
             attempt.not_sent("too late to be sent")
             return
         if len(self.in_flight) >= MAX_ATTEMPTS_IN_FLIGHT:
-            attempt.not_sent("too many attempts out")
+            attempt.not_sent("too many attempts in flight")
             return
         request, owner = attempt.request, self._owner
         hop_by_hop_id = self.next_id()
@@ -155,7 +155,7 @@
         lease: UpstreamLease | None = None,
     ) -> None:
         super().__init__(loop)
-        self.lease = lease  # enforces the connection limit that the fleet shares
+        self.lease = lease  # enforces the server's connection limit over all gateways of the cluster
         self.address, self.clock, self.identity = address, clock, identity
         self.services = services
         self._connect_ms, self._watchdog_s = connect_ms, watchdog_s
@@ -194,7 +194,7 @@
                 self.address, 4 * codec.MAX_MESSAGE_BYTES
             )
         except OSError as fault:
-            self.log_first_fault(f"no socket: {fault}")
+            self.log_first_fault(f"cannot be dialled: no socket: {fault}")
             waiting, self._waiting = self._waiting, []
             for attempt in waiting:
                 attempt.connection_lost(f"no socket: {fault}")
