--- a/tests/cluster/test_behaviour_digests.py
+++ b/tests/cluster/test_behaviour_digests.py
@@ -148,12 +148,12 @@
     add_effects,
     add_state,
     applied_values,
+    assert_digest,
     broken_values,
-    check,
     command_values,
     saved_values,
 )
-from tests.support.member_network import MemberNetwork, members_of
+from tests.support.member_network import MemberNetwork, make_members
 from tests.support.raft_group import apply_write
 from tests.support.raft_storm import FaultStorm
 
@@ -210,7 +210,7 @@
         process.replica.handle(group.now_ms, ProposeCommand("late", b"x"))
         digest.add(process.replica.discard())
         digest.add(process.replica.status(group.now_ms))
-    check(f"replica-storm-{seed}", digest)
+    assert_digest(f"replica-storm-{seed}", digest)
 
 
 class RowStateMachine:
@@ -405,7 +405,7 @@
         digest.add((invariants.count, broken_values(invariants)))
         if replica.stop_reason is not None:
             saved, invariants = PersistedGroup(), Invariants(strict=False)
-    check(f"replica-strangers-{seed}", digest)
+    assert_digest(f"replica-strangers-{seed}", digest)
 
 
 def test_forced_recovery() -> None:
@@ -418,7 +418,7 @@
     )
     for lost in (("b/1", "c/1"), ("b/1",), (), ("c/1", "b/1"), ("b/1", "d/1")):
         digest.add(saved_values(force_sole_voter(saved, "g", "a/1", lost, START_MS), "g"))
-    check("forced", digest)
+    assert_digest("forced", digest)
 
 
 # Membership and bootstrap
@@ -432,10 +432,10 @@
         super().__init__(count, seed, kind)
         self.digest = digest
 
-    def carry(self, name: str, effects: list[Any]) -> None:
+    def carry_out(self, name: str, effects: list[Any]) -> None:
         self.digest.add((self.now, name, len(effects)))
         add_effects(self.digest, self.now, effects)
-        super().carry(name, effects)
+        super().carry_out(name, effects)
 
     def record_views(self) -> None:
         """Add each member's view of the cluster to the digest."""
@@ -513,7 +513,7 @@
             network.record_views()
         running = [name for name in network.nodes if name not in network.frozen]
         if running and rng.random() < 0.3:
-            network.give(
+            network.deliver(
                 rng.choice(running),
                 MessageReceived(
                     rng.choice(list(network.ids.values())),
@@ -522,11 +522,11 @@
             )
         if len(running) > 2 and rng.random() < 0.1:
             leaving = rng.choice(running)
-            network.carry(leaving, network.nodes[leaving].leave())
+            network.carry_out(leaving, network.nodes[leaving].leave())
             network.run(network.now + 100.0)
             network.stop(leaving)
     network.record_views()
-    check(f"members-{count}-{seed}", digest)
+    assert_digest(f"members-{count}-{seed}", digest)
 
 
 @pytest.mark.parametrize(("count", "seed"), [(1, 1), (3, 2), (3, 3), (7, 4), (12, 5)])
@@ -545,7 +545,7 @@
                 (IdentityQuery("a"), Announce("a", b""), ClusterFounded(b"junk"), Announce("b", b"\x91\x01"))
             )
             if name not in network.frozen:
-                network.give(name, MessageReceived(sender, message))
+                network.deliver(name, MessageReceived(sender, message))
     network.delay = lambda sender, recipient: 1.0
     for name in names:
         if name in network.frozen:
@@ -558,7 +558,7 @@
             (node.record, node.is_founder, None if node.error is None else (node.error.code, node.error))
         )
         node.handle(network.now, StorageFailure(StorageFailed("", "full")))
-    check(f"founding-{count}-{seed}", digest)
+    assert_digest(f"founding-{count}-{seed}", digest)
 
 
 def test_initial_placement_and_group_for_key() -> None:
@@ -568,7 +568,7 @@
             "yard",
             "f0",
             "m000/1",
-            tuple((f"{member.name}/1", member.zone) for member in members_of(member_count)),
+            tuple((f"{member.name}/1", member.zone) for member in make_members(member_count)),
             8,
             5,
         )
@@ -578,7 +578,7 @@
         [group_for_key(f"{key_kind}:{number}", 8) for key_kind in "tsp" for number in range(200)]
         + [group_for_key("", 3)]
     )
-    check("placing", digest)
+    assert_digest("placing", digest)
 
 
 # State machine parts
@@ -1035,7 +1035,7 @@
             if step % 120 == 119:
                 group_state.restore_from_snapshot()
     digest.add(applied_values(group_state.machine.apply(0.0, group_state.index + 1, b"\x01")))
-    check(f"state-{group}-{seed}", digest)
+    assert_digest(f"state-{group}-{seed}", digest)
 
 
 def test_operator_commands_and_timings() -> None:
@@ -1059,7 +1059,7 @@
     ):
         digest.add((find_problems(timings), timings.lease_expiry_ms()))
     digest.add(expand_windows((Window(5.0, 6.0), Window(1.0, 2.0, 2.0, 4.0))))
-    check("operators", digest)
+    assert_digest("operators", digest)
 
 
 @pytest.mark.parametrize("even_split", [True, False])
@@ -1118,7 +1118,7 @@
                 digest.add(pool.dump())
                 pool = LeasePool.load(pool.dump())
         digest.add((case, invariants.count))
-    check(f"divided-{even_split}", digest)
+    assert_digest(f"divided-{even_split}", digest)
 
 
 def test_capacity_shares() -> None:
@@ -1143,7 +1143,7 @@
             )
         digest.add(shares.admit(now_ms, rng.choice(("", "c0", "c1", "c3", "c9")), rng.uniform(0.5, 4.0)))
     digest.add(shares.buckets)
-    check("shares", digest)
+    assert_digest("shares", digest)
 
 
 # Clients
@@ -1294,7 +1294,7 @@
             digest.add([lease_client.status(clients.now_ms) for lease_client in lease_clients])
             for group_state in clients.groups.values():
                 group_state.record_state()
-    check(f"floors-{seed}", digest)
+    assert_digest(f"floors-{seed}", digest)
 
 
 def open_and_close_connections(
@@ -1380,7 +1380,7 @@
             digest.add(connections.summary())
             clients.groups["g0"].record_state()
     digest.add([list(lease_holder.servers_without_limit) for lease_holder in lease_holders])
-    check(f"connections-{seed}", digest)
+    assert_digest(f"connections-{seed}", digest)
 
 
 @pytest.mark.parametrize("seed", range(8))
@@ -1443,7 +1443,7 @@
             clients.apply(CancelRollingRestart(id="can", restart="r"))
         if step % 90 == 89:
             clients.groups[FLEET].record_state()
-    check(f"rolls-{seed}", digest)
+    assert_digest(f"rolls-{seed}", digest)
 
 
 def test_minimum_duration_of_a_rolling_restart() -> None:
@@ -1456,7 +1456,7 @@
                 rng.sample(GATEWAYS, 4), groups, zones, rng.randint(1, 4), rng.random(), 1000.0
             )
         )
-    check("least-roll", digest)
+    assert_digest("least-roll", digest)
 
 
 # Simulated clusters
@@ -1491,7 +1491,7 @@
         recorded_cluster(digest),
     )
     digest.add(result.plain())
-    check(f"world-{disk_fault}", digest)
+    assert_digest(f"world-{disk_fault}", digest)
 
 
 def handle_and_record(node: ClusterNode, digest: Digest, now_ms: float, event: NodeEvent) -> None:
@@ -1507,7 +1507,7 @@
         pass
 
     RecordedSingleNode.digest = digest
-    members = members_of(1)
+    members = make_members(1)
     node = RecordedSingleNode(
         NodeSetup("yard", "m000", "1", members, 1, 2, TIMINGS, 100.0),
         {},
@@ -1566,7 +1566,7 @@
     for _ in range(100):
         now_ms += 50.0
         node.handle(now_ms, START_MS + now_ms, Tick())
-    check("node-alone", digest)
+    assert_digest("node-alone", digest)
 
 
 @pytest.mark.parametrize(
@@ -1588,7 +1588,7 @@
     result = play_seed(seed, members, kind, recorded_cluster(digest))
     digest.add(result.plain())
     digest.add(result.names)
-    check(f"world-{kind}-{seed}", digest)
+    assert_digest(f"world-{kind}-{seed}", digest)
 
 
 def test_validation_of_proposed_waves() -> None:
@@ -1641,7 +1641,7 @@
                 ),
             )
     group_state.record_state()
-    check("roll-waves", digest)
+    assert_digest("roll-waves", digest)
 
 
 def test_connections_are_closed_before_an_unrenewed_lease_expires() -> None:
@@ -1667,4 +1667,4 @@
         if current != previous:
             digest.add((now_ms, current))
         previous = current
-    check("connections-unrenewed", digest)
+    assert_digest("connections-unrenewed", digest)
--- a/tests/cluster/test_golden_cluster.py
+++ b/tests/cluster/test_golden_cluster.py
@@ -64,19 +64,19 @@
     HISTORIES,
     INCARNATION,
     MEMBER,
-    OTHER,
     SNAPSHOT_AT,
+    TENANT_GROUP,
     apply_entries,
     history_entries,
     new_state,
     write_store,
 )
 from tests.support.cluster_samples import (
+    BOOTSTRAP_RECORD,
     CASES,
     CLUSTER,
     COMMANDS,
     ERRORS,
-    FOUNDING,
     MESSAGES,
     RECEIVER,
     SENDER,
@@ -395,7 +395,7 @@
         wall: float,
         rules: Invariants,
     ) -> None:
-        self.states = {name: restored_state(name, saved[name]) for name in (FLEET, "g0", OTHER)}
+        self.states = {name: restored_state(name, saved[name]) for name in (FLEET, "g0", TENANT_GROUP)}
         self._node = ClusterNode(setup, saved, Random(1), NODE_TIME_MS, START_MS, rules)
         self._at_ms = START_MS + 100_000.0
         self.due = math.inf
@@ -406,7 +406,7 @@
             return []
         self._at_ms += 1000.0
         command = event.command
-        group = group_for_key(command.key(), FOUNDING.group_count)
+        group = group_for_key(command.key(), BOOTSTRAP_RECORD.group_count)
         if command.is_read_only:
             return [OperationCompleted(event.token, self.states[group].query(command))]
         return [OperationCompleted(event.token, self.apply(group, encode_command(self._at_ms, command)))]
@@ -546,14 +546,14 @@
 
 def node_events() -> list[NodeEvent]:
     """Events for a member that restarts with the golden store: messages from a leader, and calls."""
-    last = history_entries(OTHER)[-1]
+    last = history_entries(TENANT_GROUP)[-1]
     put = key_value.PutValue(id="x1", name="note", value="armed")
     entry = messages.LogEntry(
         last.index + 1, 8, messages.EntryKind.COMMAND, encode_command(START_MS + 70_000.0, put)
     )
-    group = group_for_key(put.key(), FOUNDING.group_count)
+    group = group_for_key(put.key(), BOOTSTRAP_RECORD.group_count)
     append = messages.AppendEntries(
-        group=OTHER,
+        group=TENANT_GROUP,
         term=8,
         prev_log_index=last.index,
         prev_log_term=last.term,
@@ -562,7 +562,7 @@
         heartbeat_round=1,
     )
     heartbeat = messages.AppendEntries(
-        group=OTHER,
+        group=TENANT_GROUP,
         term=8,
         prev_log_index=entry.index,
         prev_log_term=8,
@@ -591,8 +591,8 @@
     return [
         *(MessageReceived("c/3", message) for message in received),
         RecordsPersisted("g0", 1),
-        RecordsPersisted(OTHER, 1),
-        RecordsPersisted(OTHER, 2),
+        RecordsPersisted(TENANT_GROUP, 1),
+        RecordsPersisted(TENANT_GROUP, 2),
         MessageReceived("c/3", heartbeat),
         ClusterCall("a.1", put),
         ClusterCall("a.2", key_value.ReadValue(id="x3", name="note")),
@@ -631,7 +631,7 @@
     storage.close()
     return canonical(
         forced_recovery.force_sole_voter(
-            storage.persisted_groups[OTHER], OTHER, "a/1", ("b/2", "c/3"), START_MS + 90_000.5
+            storage.persisted_groups[TENANT_GROUP], TENANT_GROUP, "a/1", ("b/2", "c/3"), START_MS + 90_000.5
         )
     )
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -75,13 +75,13 @@
     max_rate = max(net.sent.values()) / 4.0
     mean_rate = sum(net.sent.values()) / 4.0 / count
     assert mean_rate < 4.3 and max_rate < 10, "one Ping and one Ack per half second"
-    assert not net.buried()
-    assert net.believed("m001") == {"alive": count - 1}
+    assert not net.names_reported_dead()
+    assert net.state_counts("m001") == {"alive": count - 1}
     net.stop("m001")
-    while net.believed("m001") != {"dead": count - 1}:
-        assert net.now < 9000.0 + detection_ms, net.believed("m001")
+    while net.state_counts("m001") != {"dead": count - 1}:
+        assert net.now < 9000.0 + detection_ms, net.state_counts("m001")
         net.run(net.now + 50.0)
-    assert net.buried() == {"m001"}
+    assert net.names_reported_dead() == {"m001"}
     print(
         f"{count}: {mean_rate:.2f} messages a second (maximum {max_rate:.1f}), detected after {net.now - 9000.0:.0f} ms"
     )
@@ -91,7 +91,7 @@
     """Run until then, and return the names that any member declared dead."""
     begin = net.now
     net.run(until)
-    return net.buried(begin)
+    return net.names_reported_dead(begin)
 
 
 def test_indirect_pings_prevent_suspicion_where_one_direction_loses_messages() -> None:
@@ -128,16 +128,16 @@
     net.run(7000.0)
     net.frozen["m001"] = []
     net.run(7000.0 + frozen_ms)
-    events_before = len(net.says)
+    events_before = len(net.log_events)
     net.thaw("m001")
     net.run(net.now + 10000.0)
     assert not [
         log_event
-        for _, name, log_event in net.says[events_before:]
+        for _, name, log_event in net.log_events[events_before:]
         if name == "m001" and log_event.fields.get("state") == "dead"
     ]
-    assert net.buried() <= {"m001"}
-    assert net.believed("m001") == {"alive": 9}, "the others see it as alive again"
+    assert net.names_reported_dead() <= {"m001"}
+    assert net.state_counts("m001") == {"alive": 9}, "the others see it as alive again"
     assert net.nodes["m001"].alive_ids() == frozenset(net.ids.values())
 
 
@@ -160,10 +160,10 @@
     net = running_network(6, 7)
     net.delay = lambda a, b: 1.0 if (a < "m003") == (b < "m003") else None
     net.run(30000.0)
-    assert net.believed("m000") == {"alive": 2, "dead": 3}
+    assert net.state_counts("m000") == {"alive": 2, "dead": 3}
     net.delay = lambda a, b: 1.0
     net.run(36000.0)
-    assert all(net.believed(name) == {"alive": 5} for name in net.nodes), "every member sees every other"
+    assert all(net.state_counts(name) == {"alive": 5} for name in net.nodes), "every member sees every other"
 
 
 def test_a_new_incarnation_supersedes_the_old_and_a_restart_keeps_its_own() -> None:
@@ -173,11 +173,11 @@
     net.run(15000.0)
     net.start("m001")
     net.run(20000.0)
-    assert net.believed(old) == {"alive": 4}, "under its old incarnation"
+    assert net.state_counts(old) == {"alive": 4}, "under its old incarnation"
     net.stop("m001")
     net.start("m001", wiped=True)
     net.run(30000.0)
-    assert net.believed(old) == {"superseded": 4} and net.believed(net.ids["m001"]) == {"alive": 4}
+    assert net.state_counts(old) == {"superseded": 4} and net.state_counts(net.ids["m001"]) == {"alive": 4}
     node = net.nodes["m000"]
     assert node.dead_for_ms(net.now)[old] > 8000.0 and old not in node.alive_ids()
     node.handle(
@@ -191,16 +191,16 @@
 
 def test_a_member_that_left_counts_as_dead_only_after_a_grace_period() -> None:
     net = running_network(5, 9)
-    net.carry("m001", net.nodes["m001"].leave())
+    net.carry_out("m001", net.nodes["m001"].leave())
     net.stop("m001")
     net.run(10000.0)
-    assert net.believed("m001") == {"left": 4} and net.buried() == set()
+    assert net.state_counts("m001") == {"left": 4} and net.names_reported_dead() == set()
     node, member = net.nodes["m000"], net.ids["m001"]
     assert member not in node.dead_for_ms(net.now) and member not in node.alive_ids()
     assert member in node.dead_for_ms(net.now + LEFT_GRACE_MULTIPLE * TIMES.repair_after_ms)
     net.start("m001")
     net.run(15000.0)
-    assert net.believed("m001") == {"alive": 4}
+    assert net.state_counts("m001") == {"alive": 4}
 
 
 # Bootstrap
--- a/tests/decisions/test_behaviour_digests.py
+++ b/tests/decisions/test_behaviour_digests.py
@@ -156,7 +156,7 @@
         13,
         replace(LOAD, gateway_count=40),
         servers=24,
-        requests_a_second=40.0,
+        requests_per_second=40.0,
         spread=12,
         work_ms=90.0,
     ),
@@ -165,26 +165,34 @@
         14,
         replace(LOAD, gateway_count=200),
         servers=40,
-        requests_a_second=12.0,
+        requests_per_second=12.0,
         spread=40,
-        elsewhere=3.0,
+        other_gateway_units=3.0,
+    ),
+    Stream("load-without-counter", 15, replace(LOAD, has_counter=False), requests_per_second=90.0),
+    Stream(
+        "load-three-modules",
+        16,
+        LOAD,
+        modules=3,
+        events=12_000,
+        requests_per_second=40.0,
+        other_gateway_units=0.0,
     ),
-    Stream("load-without-counter", 15, replace(LOAD, has_counter=False), requests_a_second=90.0),
-    Stream("load-three-modules", 16, LOAD, modules=3, events=12_000, requests_a_second=40.0, elsewhere=0.0),
     Stream("load-no-cancel", 17, replace(LOAD, can_cancel=False), server_trouble=0.4, work_ms=120.0),
     Stream("load-sound", 18, LOAD, server_trouble=0.0, counter_trouble=NO_TROUBLE),
-    Stream("load-counter-lost", 19, LOAD, counter_trouble=NO_REPLIES, requests_a_second=90.0),
+    Stream("load-counter-lost", 19, LOAD, counter_trouble=NO_REPLIES, requests_per_second=90.0),
     Stream("load-failing", 34, LOAD, server_trouble=0.9),
     Stream(
         "load-failing-uncancelled", 35, replace(LOAD, can_cancel=False, gateway_count=12), server_trouble=0.8
     ),
-    Stream("load-many-customers", 37, LOAD, customers=400, elsewhere=0.2),
+    Stream("load-many-customers", 37, LOAD, customers=400, other_gateway_units=0.2),
     Stream(
         "load-silent",
         38,
         LOAD,
         customers=600,
-        elsewhere=0.1,
+        other_gateway_units=0.1,
         server_troubles=(ServerTrouble.SILENT,),
         work_ms=30.0,
         cores=8,
@@ -192,10 +200,24 @@
     ),
     Stream("build", 21, BUILD, zones=("a", "b", "c"), work_ms=180.0),
     Stream("build-retuned", 22, BUILD, BUILD_CHANGED, zones=("a", "b", "c"), work_ms=180.0),
-    Stream("build-streamed", 23, BUILD, work_ms=150.0, streamed=frozenset({"store", "status"})),
-    Stream("build-alone", 24, SINGLE_GATEWAY, work_ms=180.0, requests_a_second=90.0, spread=1, elsewhere=0.0),
+    Stream("build-streamed", 23, BUILD, work_ms=150.0, streamed_classes=frozenset({"store", "status"})),
     Stream(
-        "build-overload", 25, BUILD, work_ms=500.0, requests_a_second=120.0, server_trouble=0.5, events=10_000
+        "build-alone",
+        24,
+        SINGLE_GATEWAY,
+        work_ms=180.0,
+        requests_per_second=90.0,
+        spread=1,
+        other_gateway_units=0.0,
+    ),
+    Stream(
+        "build-overload",
+        25,
+        BUILD,
+        work_ms=500.0,
+        requests_per_second=120.0,
+        server_trouble=0.5,
+        events=10_000,
     ),
     Stream("build-forty", 26, replace(BUILD, gateway_count=40), BUILD_CHANGED, servers=16, spread=9, cores=6),
     Stream(
@@ -203,7 +225,7 @@
         36,
         replace(BUILD, gateway_count=40),
         server_trouble=0.8,
-        streamed=frozenset({"start"}),
+        streamed_classes=frozenset({"start"}),
     ),
     Stream(
         "build-silent",
@@ -216,22 +238,26 @@
         spread=1,
     ),
     Stream(
-        "build-few-servers", 27, replace(BUILD, slow_start_fraction=0.0), servers=2, requests_a_second=30.0
+        "build-few-servers", 27, replace(BUILD, slow_start_fraction=0.0), servers=2, requests_per_second=30.0
     ),
-    Stream("ceilings", 28, CAPPED, customers=8, spread=2, requests_a_second=90.0, elsewhere=2.0),
-    Stream("ceilings-slow-servers", 29, CAPPED, customers=6, work_ms=200.0, requests_a_second=90.0),
+    Stream("ceilings", 28, CAPPED, customers=8, spread=2, requests_per_second=90.0, other_gateway_units=2.0),
+    Stream("ceilings-slow-servers", 29, CAPPED, customers=6, work_ms=200.0, requests_per_second=90.0),
     Stream(
-        "ceilings-even", 30, replace(EXACT_HEADROOM, has_counter=False), customers=200, requests_a_second=80.0
+        "ceilings-even",
+        30,
+        replace(EXACT_HEADROOM, has_counter=False),
+        customers=200,
+        requests_per_second=80.0,
     ),
-    Stream("handover", 31, LOAD, handover_at=1500),
-    Stream("handover-build", 32, BUILD, handover_at=1200, modules=2, work_ms=150.0),
+    Stream("handover", 31, LOAD, handover_after_events=1500),
+    Stream("handover-build", 32, BUILD, handover_after_events=1200, modules=2, work_ms=150.0),
     Stream(
         "handover-busy-counter",
         33,
         CAPPED,
-        handover_at=2000,
+        handover_after_events=2000,
         customers=12,
-        requests_a_second=90.0,
+        requests_per_second=90.0,
         counter_trouble=(CounterTrouble.BUSY, CounterTrouble.SLOW),
     ),
     Stream("reserved", 41, LOAD, reserved_share=0.3, make=priority_admission.PriorityDecisionEngine),
@@ -241,7 +267,7 @@
         CAPPED,
         reserved_share=0.5,
         customers=6,
-        requests_a_second=100.0,
+        requests_per_second=100.0,
         spread=2,
         make=priority_admission.PriorityDecisionEngine,
     ),
@@ -251,7 +277,7 @@
         BUILD,
         reserved_share=0.4,
         work_ms=500.0,
-        requests_a_second=100.0,
+        requests_per_second=100.0,
         make=priority_admission.PriorityDecisionEngine,
     ),
     Stream(
@@ -260,7 +286,7 @@
         CAPPED,
         reserved_share=0.4,
         customers=10,
-        handover_at=1500,
+        handover_after_events=1500,
         make=priority_admission.PriorityDecisionEngine,
     ),
     Stream(
@@ -269,8 +295,8 @@
         LOAD,
         modules=3,
         events=12_000,
-        elsewhere=0.0,
-        requests_a_second=40.0,
+        other_gateway_units=0.0,
+        requests_per_second=40.0,
         make=MonitoredEngine,
     ),
     Stream("watched-alone", 52, LOAD, LOAD_CHANGED, make=MonitoredEngine),
@@ -281,7 +307,7 @@
         modules=3,
         customers=8,
         events=12_000,
-        elsewhere=0.0,
+        other_gateway_units=0.0,
         make=MonitoredEngine,
         counter_trouble=(CounterTrouble.SPLIT, CounterTrouble.DEAD, CounterTrouble.FORGETFUL),
     ),
@@ -292,7 +318,7 @@
         modules=3,
         customers=8,
         events=12_000,
-        elsewhere=0.0,
+        other_gateway_units=0.0,
         reserved_share=0.3,
         make=lambda settings, seed: MonitoredEngine(
             settings, seed, priority_admission.PriorityDecisionEngine
@@ -305,8 +331,8 @@
         replace(LOAD, gateway_count=40),
         modules=8,
         events=12_000,
-        requests_a_second=20.0,
-        elsewhere=0.0,
+        requests_per_second=20.0,
+        other_gateway_units=0.0,
         spread=8,
         make=MonitoredEngine,
     ),
@@ -374,7 +400,7 @@
 
     def __init__(self, scenario: Scenario, digest: Digest) -> None:
         super().__init__(scenario.plans, scenario.trouble)
-        self.digest, self.kinds = digest, dict[str, int]()
+        self.digest, self.action_counts = digest, dict[str, int]()
 
     def request_sent(
         self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
@@ -392,7 +418,7 @@
 
     def response_received(self, now: float, rid: str, kind: str) -> None:
         """Add a final response."""
-        self.digest.add((2, now, rid, self.kinds.setdefault(kind, len(self.kinds))))
+        self.digest.add((2, now, rid, self.action_counts.setdefault(kind, len(self.action_counts))))
         super().response_received(now, rid, kind)
 
 
@@ -556,10 +582,20 @@
 
 
 def test_the_streams_cover_every_kind_of_action() -> None:
-    kinds: set[str] = set()
+    action_counts: set[str] = set()
     for stream in STREAMS:
         if stream.name in ("build", "handover", "watched"):
             driver = Driver(stream)
             driver.run()
-            kinds |= driver.kinds.keys()
-    assert kinds >= {"send", "cancel", "refuse", "fail", "count", "wake", "subscribe", "belief", "handover"}
+            action_counts |= driver.action_counts.keys()
+    assert action_counts >= {
+        "send",
+        "cancel",
+        "refuse",
+        "fail",
+        "count",
+        "wake",
+        "subscribe",
+        "belief",
+        "handover",
+    }
--- a/tests/decisions/test_fleet_sums.py
+++ b/tests/decisions/test_fleet_sums.py
@@ -12,7 +12,7 @@
 from badgeryoke.gateway.discovery.backoff import DiscoveryBackoff
 from tests.support.policy_fleet import GatewayFleet
 from tests.support.samples import server
-from tests.support.virtual_time import most_in_a_window
+from tests.support.virtual_time import max_in_window
 
 SERVERS = [server(n) for n in range(1, 61)]
 
@@ -65,7 +65,7 @@
         ]
         assert len(early_sends) <= 10
         assert (
-            most_in_a_window(
+            max_in_window(
                 [at for at, _, target in fleet.sends if target == server_id and at > started_at], 1000.0
             )
             <= 16
@@ -90,8 +90,8 @@
 ) -> None:
     """40 gateways called discovery 6 times a second each; 2 changes arrived in the whole run."""
     calls = call_times_after_failure(gateways, 60.0)
-    assert most_in_a_window([at for times in calls for at in times if at >= 20], 1.0) <= max_per_second
-    assert most_in_a_window([at for times in calls for at in times if at > 5], 0.02) <= max(4, gateways / 10)
+    assert max_in_window([at for times in calls for at in times if at >= 20], 1.0) <= max_per_second
+    assert max_in_window([at for times in calls for at in times if at > 5], 0.02) <= max(4, gateways / 10)
     # Half of the 6 s within which a change has to arrive.
     assert max(b - a for times in calls for a, b in pairwise(times)) <= 3.0
 
--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -24,9 +24,9 @@
 from badgeryoke.gateway.config.platform_file import read_config
 from tests.gateway.test_reload import changed_file
 from tests.support.paths import ROOT
-from tests.support.running import ask, until
 from tests.support.running import run_test as run_async
-from tests.support.stand_ins import HOST, NOW_MS, Backend, Discovery, config, entry, query, roster
+from tests.support.running import send_commands, until
+from tests.support.stand_ins import HOST, NOW_MS, Backend, Discovery, config, endpoint_snapshot, entry, query
 
 # Every documented key, with values of another customer; every kind of request class and plan.
 FULL: dict[str, Any] = {
@@ -402,7 +402,7 @@
 
     async def test() -> None:
         async with Backend() as node, Discovery(entry("a", node.port)) as discovery:
-            gateway_config = config(discovery.port, None, roster(entry("a", node.port)))
+            gateway_config = config(discovery.port, None, endpoint_snapshot(entry("a", node.port)))
             app = GatewayApplication(
                 gateway_config,
                 lambda: NOW_MS,
@@ -418,7 +418,7 @@
                         and len(invalid_files) < remaining
                     )
                 )
-                assert await ask(app, query(f"q{remaining}")) == [b"value"]
+                assert await send_commands(app, query(f"q{remaining}")) == [b"value"]
             app.end()
             await running
 
--- a/tests/gateway/cluster/test_connection_leases.py
+++ b/tests/gateway/cluster/test_connection_leases.py
@@ -45,10 +45,10 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     gateway,
     query,
-    roster,
 )
 from tests.support.transport import run_with_timeout
 
@@ -94,7 +94,9 @@
                 fleet=cluster_settings(tmp_path, servers=Servers(connections=CONNECTION_LIMIT))
             )
             made = replace(
-                config(list_.port, None, roster(entry("s", node.port))), name="a", operators=operators
+                config(list_.port, None, endpoint_snapshot(entry("s", node.port))),
+                name="a",
+                operators=operators,
             )
             async with gateway(made, lambda: time.time() * 1000.0) as app:
                 reader, writer = await connect(app.lifecycle.address)
--- a/tests/gateway/cluster/test_service.py
+++ b/tests/gateway/cluster/test_service.py
@@ -49,7 +49,16 @@
 from tests.support.cluster_service import ScriptedNode, cluster_settings, feed, running_service
 from tests.support.paths import ROOT
 from tests.support.running import until
-from tests.support.stand_ins import HOST, Backend, Discovery, config, connect, entry, gateway, roster
+from tests.support.stand_ins import (
+    HOST,
+    Backend,
+    Discovery,
+    config,
+    connect,
+    endpoint_snapshot,
+    entry,
+    gateway,
+)
 from tests.support.transport import run_with_timeout
 
 MEMBERS = "\n".join(
@@ -161,7 +170,7 @@
     fleet = read_operators(written(tmp_path, GOOD)).fleet
 
     async def test() -> None:
-        made = replace(config(1, None, roster()), name="gw-9", operators=Operators(fleet=fleet))
+        made = replace(config(1, None, endpoint_snapshot()), name="gw-9", operators=Operators(fleet=fleet))
         with pytest.raises(ConfigError, match=r"fleet.me: 'gw-9' is no member"):
             GatewayApplication(made)
 
@@ -500,7 +509,9 @@
     async def test() -> None:
         async with Backend() as node, Discovery(entry("a", node.port)) as list_:
             made = replace(
-                config(list_.port, None, roster(entry("a", node.port))), mgmt=(HOST, 0), drain_s=0.01
+                config(list_.port, None, endpoint_snapshot(entry("a", node.port))),
+                mgmt=(HOST, 0),
+                drain_s=0.01,
             )
             async with gateway(made) as app:
                 assert (await call(app, b"FLEET {}\n")).startswith(b"-ERR fleet is off:")
--- a/tests/gateway/diameter/test_diameter.py
+++ b/tests/gateway/diameter/test_diameter.py
@@ -23,23 +23,24 @@
 from badgeryoke.gateway.diameter.upstream_connection import DiameterUpstream
 from badgeryoke.gateway.wall_clock import WallClock
 from tests.support.dispatcher_bench import FakeLoop
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import (
     KEYED,
     NOW_MS,
     SAFE,
     Backend,
-    Books,
     Counter,
     DiameterServer,
     Discovery,
-    Got,
+    ReceivedMessage,
+    RequestLedger,
     avp,
     avps,
     ccr,
     cer,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     event_time,
     gateway,
@@ -48,7 +49,6 @@
     query,
     read_message,
     read_reply,
-    roster,
 )
 
 Streams = tuple[asyncio.StreamReader, asyncio.StreamWriter]
@@ -74,7 +74,7 @@
     return reader, writer
 
 
-async def send(peer: Streams, *sent: bytes) -> list[Got]:
+async def send(peer: Streams, *sent: bytes) -> list[ReceivedMessage]:
     peer[1].write(b"".join(sent))
     return [await read_message(peer[0]) for _ in sent]
 
@@ -116,7 +116,7 @@
                 for cls, name in ((SAFE, "read"), (SAFE, "list"), (KEYED, "write"), (KEYED, "pay"))
             )
             gateway_config = config(
-                discovery.port, None, roster(entry("a", backend.port)), True, classes=classes
+                discovery.port, None, endpoint_snapshot(entry("a", backend.port)), True, classes=classes
             )
             assert gateway_config.diameter is not None
             app = GatewayApplication(
@@ -253,7 +253,7 @@
     async def test(app: GatewayApplication, backend: Backend) -> None:
         peer = await open_peer(app)
         peer[1].write(ccr(9))
-        await backend.books.arrived.wait()
+        await backend.ledger.arrived.wait()
         app.end()
         backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
         assert (await read_message(peer[0])).result == 2001
@@ -271,7 +271,7 @@
     async def test(app: GatewayApplication, backend: Backend) -> None:
         first = await open_peer(app)
         first[1].write(ccr(9))
-        await backend.books.arrived.wait()
+        await backend.ledger.arrived.wait()
         first[1].transport.abort()
         again = await open_peer(app)
         again[1].write(ccr(9, flags=0xD0, hop=91))
@@ -282,7 +282,7 @@
         assert (got.result, got.hop, avps(got.avps[440])[442]) == (2001, 91, b"last")
         [stored] = await send(again, ccr(9, flags=0xD0, hop=92))  # a retransmission after the answer
         assert (stored.result, stored.hop) == (2001, 92)
-        assert len(backend.commands) == 1 and backend.books.units[5] == 2
+        assert len(backend.commands) == 1 and backend.ledger.units[5] == 2
         again[1].close()
 
     with_gateway(test, script=[None])
@@ -352,15 +352,15 @@
 ) -> None:
     async def test(app: GatewayApplication, server: DiameterServer) -> None:
         key = "5c0f6e1a2b3d4c59" if cls == "load-send" else ""
-        [reply] = await ask(app, query("r", cls, key=key, body="body"))
+        [reply] = await send_commands(app, query("r", cls, key=key, body="body"))
         assert reply == answer or str(reply).startswith(str(answer))
-        assert len(server.got) == sent
-        first = server.got[0]
+        assert len(server.received) == sent
+        first = server.received[0]
         assert first.avps[416] == b"\0\0\0\4" and avps(first.avps[440])[442] == b"body"
         assert first.avps[436] == struct.pack(">I", 0 if key else 2)
         # A retry has the T flag only if the first attempt may have run; the Session-Id stays the same.
-        assert bool(server.got[-1].flags & 0x10) == (script[0] != 3004)
-        assert {request.avps[263] for request in server.got} == {first.avps[263]}
+        assert bool(server.received[-1].flags & 0x10) == (script[0] != 3004)
+        assert {request.avps[263] for request in server.received} == {first.avps[263]}
 
     with_gateway(test, "diameter", script)
 
@@ -374,17 +374,17 @@
 
     async def test() -> None:
         async with DiameterServer(script=[None] * 9) as server:
-            endpoints = roster(entry("a", server.port, kind="diameter"))
+            endpoints = endpoint_snapshot(entry("a", server.port, kind="diameter"))
             gateway_config = config(1, None, endpoints, diameter=True, classes=classes)
             async with gateway(gateway_config, WallClock(time.monotonic, time.time)) as app:
                 peer = await open_peer(app)
                 [answer] = await send(peer, ccr(9, action=action))
-                assert answer.result == result and 1 <= len(server.got) <= 3
-                assert len({request.avps[263] for request in server.got}) == 1
+                assert answer.result == result and 1 <= len(server.received) <= 3
+                assert len({request.avps[263] for request in server.received}) == 1
                 if action == 0:
-                    attempt_count = len(server.got)
+                    attempt_count = len(server.received)
                     [again] = await send(peer, ccr(9, action=action, flags=0xD0, hop=99))
-                    assert again.result == result and len(server.got) == attempt_count
+                    assert again.result == result and len(server.received) == attempt_count
                 peer[1].close()
 
     run_test(test)
@@ -427,12 +427,12 @@
 def test_a_draining_server_is_disconnected_once_it_has_answered() -> None:
     async def test() -> None:
         async with one_gateway(kind="diameter", diameter=True) as (app, server, discovery):
-            assert await ask(app, query()) == [b"value"]
+            assert await send_commands(app, query()) == [b"value"]
             while len(discovery.calls) < 2:
                 await asyncio.sleep(0)
             discovery.change(entry("a", server.port, "leaving", "diameter"))
-            await server.parted.wait()
-            assert str((await ask(app, query()))[0]).startswith("-BUSY")
+            await server.disconnect_requested.wait()
+            assert str((await send_commands(app, query()))[0]).startswith("-BUSY")
 
     run_test(test)
 
@@ -441,12 +441,12 @@
     async def test(app: GatewayApplication, server: DiameterServer) -> None:
         reader, writer = await connect(app.lifecycle.address)
         writer.write(query("r", "load-send", key="5c0f6e1a2b3d4c59"))
-        await server.books.arrived.wait()
+        await server.ledger.arrived.wait()
         server.drop()
         # Retried over a new connection, with the same idempotency key.
         assert await read_reply(reader) == b"value"
-        assert [bool(got.flags & 0x10) for got in server.got] == [False, True]
-        assert server.books.dropped == 1
+        assert [bool(got.flags & 0x10) for got in server.received] == [False, True]
+        assert server.ledger.duplicate_count == 1
         writer.close()
 
     with_gateway(test, "diameter", [None])
@@ -461,18 +461,20 @@
     queries = [(n, n % 3, 1 + n % 6, 0 if n % 2 else 2) for n in range(36)]  # number, customer, units, action
 
     async def run(mixed: bool) -> tuple[dict[int, int], int, float, list[bool]]:
-        books = Books()
-        other_server: Backend | DiameterServer = DiameterServer(books) if mixed else Backend(books)
-        async with Backend(books) as backend, other_server, Counter() as counter:
+        ledger = RequestLedger()
+        other_server: Backend | DiameterServer = DiameterServer(ledger) if mixed else Backend(ledger)
+        async with Backend(ledger) as backend, other_server, Counter() as counter:
             entries = [
                 entry("a", backend.port),
                 entry("b", other_server.port, kind="diameter" if mixed else "std"),
             ]
             async with Discovery(*entries) as discovery:
-                endpoints = roster(*entries)
+                endpoints = endpoint_snapshot(*entries)
                 async with (
                     gateway(config(discovery.port, counter.port, endpoints, mixed)) as first_gateway,
-                    gateway(config(discovery.port, counter.port, endpoints, mixed, me=1)) as second_gateway,
+                    gateway(
+                        config(discovery.port, counter.port, endpoints, mixed, index=1)
+                    ) as second_gateway,
                 ):
                     apps = [first_gateway, second_gateway]
                     served = []
@@ -497,7 +499,7 @@
                                 served.append((await read_message(reader)).result == 2001)
                                 writer.close()
                             else:
-                                [answer] = await ask(
+                                [answer] = await send_commands(
                                     app,
                                     query(
                                         f"{n}-{repetition}",
@@ -509,13 +511,13 @@
                                     ),
                                 )
                                 served.append(answer == b"value")
-                    return dict(books.units), books.dropped, counter.units, served
+                    return dict(ledger.units), ledger.duplicate_count, counter.units, served
 
     async def test() -> None:
         resp2_run, mixed_run = await run(False), await run(True)
         assert resp2_run == mixed_run
-        units, dropped, counted, served = resp2_run
-        assert dropped > 0 and not all(served) and any(served)
+        units, duplicate_count, counted, served = resp2_run
+        assert duplicate_count > 0 and not all(served) and any(served)
         assert all(0 < used <= 12 for used in units.values()) and counted >= sum(units.values())
 
     run_test(test)
@@ -578,7 +580,7 @@
         peer[1].write(ccr(1) + ccr(2))
         got = await read_message(peer[0])
         assert (got.end, got.result, got.avps[281]) == (2, 3004, b"retry after 1000 ms")
-        await server.books.arrived.wait()
+        await server.ledger.arrived.wait()
         peer[1].close()
 
     with_gateway(test, "diameter", [None])
--- a/tests/gateway/discovery/test_notification_deadline.py
+++ b/tests/gateway/discovery/test_notification_deadline.py
@@ -10,9 +10,9 @@
 from badgeryoke.decisions.interface import ListScope
 from badgeryoke.gateway.discovery import long_poll
 from badgeryoke.gateway.discovery.backoff import DiscoveryBackoff
-from tests.support.discovery import GONE, AgentMood, VersionedAgent, WatchingFleet
+from tests.support.discovery import GONE_ENTRY, AgentBehaviour, VersionedAgent, WatchingFleet
 from tests.support.stand_ins import HOST
-from tests.support.virtual_time import most_in_a_window, run_in_virtual_time
+from tests.support.virtual_time import max_in_window, run_in_virtual_time
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 40, 200, 10_000])
@@ -56,15 +56,15 @@
         async with VersionedAgent() as agent:
             with WatchingFleet(agent.port, gateways) as fleet:
                 await asyncio.sleep(1.0)
-                agent.mood = AgentMood.OVERLOADED
+                agent.behaviour = AgentBehaviour.OVERLOADED
                 await asyncio.sleep(20.0)
-                agent.mood = AgentMood.ANSWERING
+                agent.behaviour = AgentBehaviour.ANSWERING
                 await asyncio.sleep(6.5)
                 # The polls open now, and the next ones on their connections.
-                agent.mood = AgentMood.SILENT_AFTER_FIRST
+                agent.behaviour = AgentBehaviour.SILENT_AFTER_FIRST
                 silent_since = loop.time()
                 await asyncio.sleep(0.5)
-                agent.history.append(GONE)
+                agent.history.append(GONE_ENTRY)
                 await asyncio.sleep(8.0)
                 assert fleet.all_notified_of_gone_at() < silent_since + 5.5  # counts as notified after 6 s
 
@@ -80,7 +80,7 @@
         async with VersionedAgent() as agent:
             with WatchingFleet(agent.port, 1, gateway_count=gateways):
                 await asyncio.sleep(5.0)
-                agent.mood, before = AgentMood.SILENT, len(agent.polled_at)
+                agent.behaviour, before = AgentBehaviour.SILENT, len(agent.polled_at)
                 await asyncio.sleep(20.0)
                 again = agent.polled_at[before + 1 if agent.polled_at[before] < 5.0 else before :]
                 assert len(agent.abandoned_at) >= 4 and len(again) >= len(agent.abandoned_at)
@@ -100,19 +100,18 @@
         async with VersionedAgent() as agent:
             with WatchingFleet(agent.port, gateways) as fleet:
                 await asyncio.sleep(11.0)
-                agent.mood = AgentMood.SILENT
+                agent.behaviour = AgentBehaviour.SILENT
                 silent_since, before = loop.time(), len(agent.polled_at)
                 await asyncio.sleep(7.0)
-                agent.history.append(GONE)
+                agent.history.append(GONE_ENTRY)
                 await asyncio.sleep(1.0)
                 polls = [
                     at for at in agent.polled_at[before:] if at > silent_since + 5.5
                 ]  # the first two rounds are over
                 assert (
-                    most_in_a_window(polls, 1.0) <= max_polls
-                    and len(agent.polled_at) - before <= 6 * gateways
+                    max_in_window(polls, 1.0) <= max_polls and len(agent.polled_at) - before <= 6 * gateways
                 )
-                agent.mood = AgentMood.ANSWERING
+                agent.behaviour = AgentBehaviour.ANSWERING
                 await asyncio.sleep(8.0)
                 # A poll sent in the outage, which this agent never answers, is open for 4 s.
                 assert fleet.all_notified_of_gone_at() < silent_since + 8.0 + 4.2
@@ -125,10 +124,10 @@
         async with VersionedAgent() as agent:
             with WatchingFleet(agent.port, 200):
                 await asyncio.sleep(1.0)
-                agent.mood = AgentMood.OVERLOADED
+                agent.behaviour = AgentBehaviour.OVERLOADED
                 await asyncio.sleep(50.0)
                 late = [at for at in agent.polled_at if at > 20.0]
-                assert most_in_a_window(late, 1.0) <= 130
+                assert max_in_window(late, 1.0) <= 130
                 assert len(late) >= 200 * 10  # in 31 s: at least one poll per gateway every 3 s
 
     run_in_virtual_time(test)
@@ -140,7 +139,7 @@
             agent.indent = 2
             with WatchingFleet(agent.port, 1) as fleet:
                 await asyncio.sleep(1.0)
-                agent.publish(GONE)
+                agent.publish(GONE_ENTRY)
                 await asyncio.sleep(0.1)
                 [(_, first), (_, then)] = fleet.notifications[0]
                 assert (first.scope, then.scope) == (ListScope.FULL, ListScope.CHANGES) and len(
@@ -151,17 +150,19 @@
 
 
 @pytest.mark.parametrize(
-    "mood", [AgentMood.ANSWERING, AgentMood.OVERLOADED, AgentMood.SILENT], ids=lambda mood: mood.value
+    "behaviour",
+    [AgentBehaviour.ANSWERING, AgentBehaviour.OVERLOADED, AgentBehaviour.SILENT],
+    ids=lambda behaviour: behaviour.value,
 )
-def test_a_new_address_is_polled_at_once_even_during_backoff(mood: AgentMood) -> None:
+def test_a_new_address_is_polled_at_once_even_during_backoff(behaviour: AgentBehaviour) -> None:
     """Regression: a pause of 7.5 s was not interrupted, and the time limit after SIGHUP is 4 s."""
 
     async def test() -> None:
         async with VersionedAgent() as agent, VersionedAgent() as new_agent:
-            new_agent.publish(GONE)
+            new_agent.publish(GONE_ENTRY)
             with WatchingFleet(agent.port, 200) as fleet:
                 await asyncio.sleep(1.0)
-                agent.mood = mood
+                agent.behaviour = behaviour
                 await asyncio.sleep(30.0)
                 now = asyncio.get_running_loop().time()
                 for client in fleet.clients:
@@ -176,14 +177,14 @@
 def test_a_new_address_that_is_silent_at_first_is_watched_within_4_s() -> None:
     async def test() -> None:
         async with VersionedAgent() as agent, VersionedAgent() as new_agent:
-            new_agent.publish(GONE)
-            new_agent.mood = AgentMood.SILENT
+            new_agent.publish(GONE_ENTRY)
+            new_agent.behaviour = AgentBehaviour.SILENT
             with WatchingFleet(agent.port, 200) as fleet:
                 await asyncio.sleep(1.0)
                 for client in fleet.clients:
                     client.switch_address((HOST, new_agent.port))
                 await asyncio.sleep(1.9)
-                new_agent.mood = AgentMood.ANSWERING
+                new_agent.behaviour = AgentBehaviour.ANSWERING
                 await asyncio.sleep(1.5)
                 assert fleet.all_notified_of_gone_at() < 1.0 + 2.4
 
--- a/tests/gateway/discovery/test_responses.py
+++ b/tests/gateway/discovery/test_responses.py
@@ -20,7 +20,7 @@
 from badgeryoke.gateway.discovery.endpoint_list import EndpointSnapshot, read_endpoint_snapshot
 from badgeryoke.gateway.discovery.http_response import HttpResponse
 from tests.support.discovery import (
-    GONE,
+    GONE_ENTRY,
     OK,
     OVERLOADED,
     Act,
@@ -33,7 +33,7 @@
     sends,
     sends_then_resets,
 )
-from tests.support.running import ask
+from tests.support.running import send_commands
 from tests.support.stand_ins import HOST, config, entry, gateway, query, resp
 from tests.support.virtual_time import run_in_virtual_time
 
@@ -316,9 +316,9 @@
 
     async def test() -> None:
         async with ScriptedAgent() as agent, gateway(config(agent.port, None)) as app:
-            assert await ask(app, resp("PING")) == ["-ERR not ready"]
+            assert await send_commands(app, resp("PING")) == ["-ERR not ready"]
             await asyncio.sleep(5.1)
-            ping, answer = await ask(app, resp("PING"), query(plan="free"))
+            ping, answer = await send_commands(app, resp("PING"), query(plan="free"))
             assert ping == "+PONG" and str(answer).startswith("-BUSY")
 
     run_in_virtual_time(test)
@@ -360,7 +360,9 @@
     """Regression: when discovery restarted its versions, the changes in between were missed without any error."""
 
     async def test() -> None:
-        async with ScriptedAgent(responds(LIST), changes(3, GONE), responds(NEXT_LIST), changes(8)) as agent:
+        async with ScriptedAgent(
+            responds(LIST), changes(3, GONE_ENTRY), responds(NEXT_LIST), changes(8)
+        ) as agent:
             with WatchingFleet(agent.port, 1) as fleet:
                 await asyncio.sleep(1.0)
                 assert [m.scope for _, m in fleet.notifications[0]] == [ListScope.FULL, ListScope.FULL]
--- a/tests/gateway/resp/test_client_connection.py
+++ b/tests/gateway/resp/test_client_connection.py
@@ -22,27 +22,29 @@
 from badgeryoke.gateway.wall_clock import WallClock
 from tests.decisions.test_simulator_adapter import PARAMS
 from tests.support.paths import ROOT
-from tests.support.running import ask, run_test
+from tests.support.running import run_test, send_commands
 from tests.support.stand_ins import (
     Backend,
     Counter,
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     gateway,
     one_gateway,
     query,
     read_reply,
     resp,
-    roster,
 )
 
 
 def test_a_request_is_forwarded_unchanged_and_its_value_is_returned() -> None:
     async def test() -> None:
         async with Counter() as counter, one_gateway(counter=counter.port) as (app, backend, _):
-            answers = await ask(app, query("id1", "load-send", 3, key="5c0f6e1a2b3d4c59", body="BODY"))
+            answers = await send_commands(
+                app, query("id1", "load-send", 3, key="5c0f6e1a2b3d4c59", body="BODY")
+            )
             assert answers == [b"value"]
             name, customer, request_id, field_list, body = backend.commands[0]
             assert (name, customer, request_id, body) == (b"SVC.SUBMIT", b"%016x" % 5, b"id1", b"BODY")
@@ -75,7 +77,7 @@
 def test_each_backend_reply_maps_to_an_attempt_outcome(script: list[bytes | None], attempts: int) -> None:
     async def test() -> None:
         async with one_gateway(script=script) as (app, backend, _):
-            assert await ask(app, query()) == [b"value"]
+            assert await send_commands(app, query()) == [b"value"]
             assert len(backend.commands) == attempts
 
     run_test(test)
@@ -87,10 +89,10 @@
     async def test() -> None:
         async with Backend(script=[b"RESET"]) as backend, Discovery(entry("a", backend.port)) as discovery:
             gateway_config = config(
-                discovery.port, None, roster(entry("a", backend.port)), classes=(not_idempotent,)
+                discovery.port, None, endpoint_snapshot(entry("a", backend.port)), classes=(not_idempotent,)
             )
             async with gateway(gateway_config) as app:
-                [answer] = await ask(app, query(cls="load-send", key="1" * 16))
+                [answer] = await send_commands(app, query(cls="load-send", key="1" * 16))
                 assert str(answer).startswith("-ERR failed") and len(backend.commands) == 1
 
     run_test(test)
@@ -98,8 +100,8 @@
 
 def test_without_servers_a_request_is_rejected_with_retry_after() -> None:
     async def test() -> None:
-        async with gateway(config(1, None, roster(entry("a", 1, "leaving")))) as app:
-            [answer] = await ask(app, query())
+        async with gateway(config(1, None, endpoint_snapshot(entry("a", 1, "leaving")))) as app:
+            [answer] = await send_commands(app, query())
             assert str(answer).startswith("-BUSY ") and int(str(answer)[6:]) > 0
 
     run_test(test)
@@ -128,10 +130,10 @@
         short_deadline = api.RequestClass("balance-check", 1000.0, 1000.0, api.Idempotency.IDEMPOTENT)
         async with Backend(script=[None] * 3) as backend, Discovery(entry("a", backend.port)) as discovery:
             gateway_config = config(
-                discovery.port, None, roster(entry("a", backend.port)), classes=(short_deadline,)
+                discovery.port, None, endpoint_snapshot(entry("a", backend.port)), classes=(short_deadline,)
             )
             async with gateway(gateway_config, WallClock(time.monotonic, time.time)) as app:
-                [answer] = await ask(app, query(d=1000))
+                [answer] = await send_commands(app, query(d=1000))
                 assert str(answer).startswith("-BUSY ") and backend.commands
                 await backend.ended.wait()  # the gateway has closed the attempt's connection
 
@@ -143,7 +145,7 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             _, writer = await connect(app.lifecycle.address)
             writer.write(query())
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             writer.close()
             await backend.ended.wait()
             assert app.parts.dispatcher.unanswered == 0
@@ -198,7 +200,7 @@
 
     async def test() -> None:
         async with one_gateway() as (app, _, _):
-            first, second = await ask(app, query(), b"PING\r\n")
+            first, second = await send_commands(app, query(), b"PING\r\n")
             assert first == b"value" and str(second).startswith("-ERR protocol")
 
     run_test(test)
@@ -211,11 +213,11 @@
             port = discovery.port
         gateway_config = config(port, None)  # discovery is absent at the start
         async with gateway(gateway_config) as app:
-            assert await ask(app, resp("PING")) == ["-ERR not ready"]
+            assert await send_commands(app, resp("PING")) == ["-ERR not ready"]
             discovery = Discovery(entry("a", 1))
             discovery.port = port
             async with discovery:
-                while await ask(app, resp("PING")) != ["+PONG"]:
+                while await send_commands(app, resp("PING")) != ["+PONG"]:
                     await asyncio.sleep(0.01)
 
     run_test(test)
@@ -226,13 +228,13 @@
         async with one_gateway(script=[None]) as (app, backend, discovery):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("before"))
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             while not any("after" in call for call in discovery.calls):
                 await asyncio.sleep(0)
             discovery.change(entry("a", backend.port, "leaving"))
             while len(discovery.calls) < 3:  # the change has been applied: the next watch has begun
                 await asyncio.sleep(0)
-            assert str((await ask(app, query("after")))[0]).startswith("-BUSY")
+            assert str((await send_commands(app, query("after")))[0]).startswith("-BUSY")
             backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")  # the request in flight still gets its response
             assert await read_reply(reader) == b"last"
             assert [command[2] for command in backend.commands] == [b"before"]
@@ -245,7 +247,7 @@
     async def test() -> None:
         async with one_gateway() as (app, backend, _):
             for n in range(20):
-                assert await ask(app, query(f"r{n}")) == [b"value"]
+                assert await send_commands(app, query(f"r{n}")) == [b"value"]
             assert backend.connections == 1
 
     run_test(test)
@@ -256,10 +258,12 @@
         async with Backend() as stopped:
             port = stopped.port
         async with Backend() as backend, Discovery(entry("a", port), entry("b", backend.port)) as discovery:
-            endpoints = roster(entry("a", port), entry("b", backend.port))
+            endpoints = endpoint_snapshot(entry("a", port), entry("b", backend.port))
             async with gateway(config(discovery.port, None, endpoints)) as app:
                 for n in range(8):  # requests with a key are retried only if the attempt never ran
-                    assert await ask(app, query(f"r{n}", "load-send", key=f"{n:016x}")) == [b"value"]
+                    assert await send_commands(app, query(f"r{n}", "load-send", key=f"{n:016x}")) == [
+                        b"value"
+                    ]
 
     run_test(test)
 
@@ -269,10 +273,10 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query())
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             app.end()
             # A new connection is still accepted.
-            assert await ask(app, resp("PING")) == ["-ERR not ready"]
+            assert await send_commands(app, resp("PING")) == ["-ERR not ready"]
             assert not app.done.is_set()
             backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
             assert await read_reply(reader) == b"last"
@@ -289,17 +293,17 @@
             Discovery(entry("a", backend.port)) as discovery,
             Counter() as counter,
         ):
-            endpoints = roster(entry("a", backend.port))
+            endpoints = endpoint_snapshot(entry("a", backend.port))
             async with (
                 gateway(config(discovery.port, counter.port, endpoints)) as first,
-                gateway(config(discovery.port, counter.port, endpoints, me=1)) as second,
+                gateway(config(discovery.port, counter.port, endpoints, index=1)) as second,
             ):
                 answers = [
-                    (await ask(app, query(f"r{n}", units=3, plan="small")))[0]
+                    (await send_commands(app, query(f"r{n}", units=3, plan="small")))[0]
                     for n, app in enumerate([first, second] * 4)
                 ]
                 served = [n for n, answer in enumerate(answers) if answer == b"value"]
-                assert len(served) == 4 and backend.books.units[5] == 12
+                assert len(served) == 4 and backend.ledger.units[5] == 12
                 assert all(str(other).startswith("-BUSY ") for other in answers if other != b"value")
 
     run_test(test)
--- a/tests/gateway/resp/test_connection_close.py
+++ b/tests/gateway/resp/test_connection_close.py
@@ -41,7 +41,7 @@
 from badgeryoke.gateway.wall_clock import WallClock
 from tests.decisions.test_simulator_adapter import PARAMS
 from tests.support.paths import ROOT
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import (
     HOST,
     Backend,
@@ -49,13 +49,13 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     gateway,
     one_gateway,
     query,
     read_reply,
     resp,
-    roster,
 )
 
 LAST_RESPONSE = b"*1\r\n$4\r\nlast\r\n"  # as a backend sends it
@@ -103,7 +103,7 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query())
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             writer.write_eof()
             await backend.ended.wait()
             assert await reader.read() == b"" and app.parts.dispatcher.unanswered == 0
@@ -198,7 +198,9 @@
             await until(lambda: app.parts.resp_listener.connections)
             await until(lambda: not app.parts.resp_listener.connections)
             assert sizes == [] and app.parts.dispatcher.unanswered == 0
-            assert await ask(app, resp("PING") * 2000) == ["+PONG"]  # while the client goes on sending
+            assert await send_commands(app, resp("PING") * 2000) == [
+                "+PONG"
+            ]  # while the client goes on sending
             assert max(sizes) == READ_CHUNK_BYTES
 
     run_test(test)
@@ -494,7 +496,7 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("open"))
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             for n in range(3):
                 client_socket = connect_client(app)
                 client_socket.sendall(query(f"more{n}"))
@@ -525,7 +527,7 @@
                 client_socket.sendall(query(f"r{n}"))
             app.lifecycle.post(ShutdownEvent.TERMINATE)
             app.lifecycle.post(ShutdownEvent.NOTICE_ELAPSED)
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             assert not app.done.is_set()
             await until(lambda: len(backend.commands) == 3)
             for writer in backend.writers:
@@ -573,7 +575,7 @@
         async with one_gateway(script=[None, None]) as (app, backend, _):
             client_socket = connect_client(app)
             client_socket.sendall(query("held"))
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             [connection] = app.parts.resp_listener.connections
             app.parts.resp_listener.reject_new_requests()
             client_socket.sendall(query("late"))
@@ -592,14 +594,17 @@
             Counter() as counter,
             Discovery(entry("a", backend.port)) as discovery,
         ):
-            counter.held.clear()
+            counter.may_answer.clear()
             gateway_config = config(
-                discovery.port, counter.port, roster(entry("a", backend.port)), counter_timeout_ms=50.0
+                discovery.port,
+                counter.port,
+                endpoint_snapshot(entry("a", backend.port)),
+                counter_timeout_ms=50.0,
             )
             async with gateway(gateway_config, WallClock(time.monotonic, time.time)) as app:
                 reader, writer = await connect(app.lifecycle.address)
                 writer.write(query())
-                await backend.books.arrived.wait()
+                await backend.ledger.arrived.wait()
                 app.end()
                 app.end()
                 backend.writers[0].write(LAST_RESPONSE)
@@ -633,7 +638,7 @@
             Counter() as counter,
             Discovery(entry("a", backend.port)) as discovery,
         ):
-            gateway_config = config(discovery.port, counter.port, roster(entry("a", backend.port)))
+            gateway_config = config(discovery.port, counter.port, endpoint_snapshot(entry("a", backend.port)))
             if inherited:
                 gateway_config = replace(
                     gateway_config, socket_fd=listening_socket.fileno(), folder=str(tmp_path)
--- a/tests/gateway/resp/test_retries.py
+++ b/tests/gateway/resp/test_retries.py
@@ -31,7 +31,7 @@
 from badgeryoke.gateway.resp.upstream_connection import RESPONSE_SILENCE_TIMEOUT_MS, RespUpstream
 from badgeryoke.gateway.responses import Response
 from tests.support.dispatcher_bench import KEYED_CLASS, NOT_IDEMPOTENT_CLASS, NoCounter
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import HOST, NOW_MS, Counter, connect, one_gateway, query, settings
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -250,15 +250,15 @@
     async def during_counter_call() -> None:
         async with Counter() as counter, one_gateway(counter=counter.port) as (app, backend, _):
             _, writer = await connect(app.lifecycle.address)
-            counter.held.clear()
+            counter.may_answer.clear()
             writer.write(query("r1"))
             await until(lambda: counter.units)
             writer.transport.abort()
             await until(
                 lambda: not app.parts.dispatcher.unanswered and not app.parts.resp_listener.connections
             )
-            counter.held.set()
-            assert await ask(app, query("r2")) == [b"value"]
+            counter.may_answer.set()
+            assert await send_commands(app, query("r2")) == [b"value"]
             assert [command[2] for command in backend.commands] == [b"r2"]
 
     async def while_connecting() -> None:
--- a/tests/gateway/test_counter_and_discovery.py
+++ b/tests/gateway/test_counter_and_discovery.py
@@ -13,7 +13,7 @@
 from badgeryoke.gateway.discovery.endpoint_list import EndpointSnapshot
 from tests.support.counter import CounterCalls
 from tests.support.running import run_test
-from tests.support.stand_ins import HOST, Counter, Discovery, entry, roster
+from tests.support.stand_ins import HOST, Counter, Discovery, endpoint_snapshot, entry
 
 
 def test_replies_are_matched_in_order_also_after_a_timeout() -> None:
@@ -21,7 +21,7 @@
         async with Counter() as counter:
             calls = CounterCalls(counter.port)
             await calls.connected()
-            counter.held.clear()
+            counter.may_answer.clear()
             calls.client.add(7, 3.0, 1000.0, calls.replies.put_nowait)
             while counter.totals["7"] == 0:
                 await asyncio.sleep(0)
@@ -29,7 +29,7 @@
             late = await calls.replies.get()
             assert (late.name, late.verdict) == (7, Verdict.TIMEOUT)
             calls.client.add(8, 5.0, 1000.0, calls.replies.put_nowait)
-            counter.held.set()
+            counter.may_answer.set()
             total = await calls.replies.get()  # the late reply for 7 is not taken as the reply for 8
             assert (total.name, total.verdict, total.total) == (8, Verdict.OK, 5.0)
             calls.client.close()
@@ -70,7 +70,7 @@
         assert (await calls.call(7)).verdict is Verdict.CONNECT_FAILED
         async with counter:
             await calls.connected()
-            counter.held.clear()
+            counter.may_answer.clear()
             calls.client.add(9, 1.0, 1000.0, calls.replies.put_nowait)
             while counter.totals["9"] == 0:
                 await asyncio.sleep(0)
@@ -86,7 +86,7 @@
         async with Counter() as counter:
             calls = CounterCalls(counter.port, 1.0)
             await calls.connected()
-            counter.held.clear()
+            counter.may_answer.clear()
             calls.client.add(7, 1.0, 1000.0, calls.replies.put_nowait)
             while counter.totals["7"] == 0:
                 await asyncio.sleep(0)
@@ -94,7 +94,7 @@
             while counter.connections == before:
                 calls.now_ms += 1.0
                 await asyncio.sleep(0.001)
-            counter.held.set()
+            counter.may_answer.set()
             calls.client.close()
 
     run_test(test)
@@ -127,7 +127,7 @@
     async def test() -> None:
         async with Discovery() as absent:
             port = absent.port
-        watch = Watch(port, roster(entry("a", 9)))
+        watch = Watch(port, endpoint_snapshot(entry("a", 9)))
         first, endpoints = await watch.notifications.get()
         assert first.scope is ListScope.CACHED and [
             endpoint.address[1] for endpoint in endpoints.values()
@@ -158,14 +158,14 @@
 
     async def test() -> None:
         async with Discovery(entry("a", 1, "leaving")) as discovery:
-            watch = Watch(discovery.port, roster(entry("a", 1)))
+            watch = Watch(discovery.port, endpoint_snapshot(entry("a", 1)))
             first, _ = await watch.notifications.get()
             assert first.scope is ListScope.FULL and [s.state for s in first.servers] == [
                 EndpointState.DRAINING
             ]
             watch.client.stop()
         async with SilentAgent() as agent:  # discovery is down
-            watch = Watch(agent.port, roster(entry("a", 1)))
+            watch = Watch(agent.port, endpoint_snapshot(entry("a", 1)))
             first, _ = await watch.notifications.get()
             assert first.scope is ListScope.CACHED
             watch.client.stop()
--- a/tests/gateway/test_faults_by_stage.py
+++ b/tests/gateway/test_faults_by_stage.py
@@ -31,10 +31,10 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     query,
     read_reply,
-    roster,
 )
 
 ONCE = api.RequestClass("once", 30_000.0, 60_000.0, api.Idempotency.NOT_IDEMPOTENT)
@@ -60,7 +60,7 @@
             self.commands.append(command)
             units = dict(part.split("=") for part in command[3].decode().split(","))["units"]
             is_tested = command[2] == b"test"
-            self.books.book(int(command[1], 16), self.tested_units if is_tested else int(units), "")
+            self.ledger.record(int(command[1], 16), self.tested_units if is_tested else int(units), "")
             if is_tested:
                 await self.may_answer.wait()
                 writer.write(self.remaining_response)
@@ -89,7 +89,7 @@
         gateway_config = config(
             discovery.port,
             counter.port,
-            roster(entry("a", backend.port)),
+            endpoint_snapshot(entry("a", backend.port)),
             classes=(SAFE, KEYED, ONCE),
             counter_timeout_ms=50.0,
         )
@@ -161,7 +161,7 @@
         try:
             yield bench
         finally:
-            counter.held.set()
+            counter.may_answer.set()
             bench.app.end()
             await bench.app.done.wait()
 
@@ -174,7 +174,7 @@
 
 
 async def waiting_for_the_counter(bench: GatewayBench) -> None:
-    bench.counter.held.clear()
+    bench.counter.may_answer.clear()
     await bench.send_tested_query()
     await until(lambda: bench.counter.units == 2)
 
@@ -230,7 +230,7 @@
 
 async def report_in_flight(bench: GatewayBench) -> None:
     await units_unreported(bench)
-    bench.counter.held.clear()
+    bench.counter.may_answer.clear()
     bench.app.parts.dispatcher.flush_timers()
     await until(lambda: bench.counter.units == 3)
 
@@ -277,7 +277,7 @@
 
 async def sigterm(bench: GatewayBench) -> None:
     bench.app.end()
-    bench.counter.held.set()
+    bench.counter.may_answer.set()
 
 
 async def sighup(bench: GatewayBench) -> None:
@@ -354,7 +354,7 @@
             await stage(bench)
             await fault(bench)
             # End all delays: the server reads and responds, the counter replies.
-            for event in (bench.counter.held, bench.backend.may_read, bench.backend.may_answer):
+            for event in (bench.counter.may_answer, bench.backend.may_read, bench.backend.may_answer):
                 event.set()
             if stage is not_yet_written:
                 upstream = bench.app.parts.upstreams.by_number[1][1]
@@ -394,7 +394,7 @@
             for n in range(BURST + 4):
                 bench.module._quota._call_probability = 1.0  # the counter works again and is called
                 await bench.ask(f"more{n}")
-            units_sent = bench.backend.books.units[5] - BURST
+            units_sent = bench.backend.ledger.units[5] - BURST
             assert units_sent == EXPECTED_DEVIATIONS.get((stage, fault), 0)
 
     run_test(test)
--- a/tests/gateway/test_golden_admin.py
+++ b/tests/gateway/test_golden_admin.py
@@ -11,18 +11,18 @@
 from badgeryoke.gateway.graceful_shutdown import ShutdownState
 from badgeryoke.gateway.metrics import Metrics, RequestResult
 from tests.support.golden_files import assert_golden, golden, text_lines
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import (
     HOST,
     Backend,
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     gateway,
     query,
     resp,
-    roster,
 )
 
 METRICS, CALLS, ANSWERS = "metrics.txt", "management-calls.txt", "management-answers.txt"
@@ -127,7 +127,7 @@
 
     async def record() -> None:
         async with Backend() as backend, Discovery(entry("a", backend.port)) as discovery:
-            gateway_config = config(discovery.port, None, roster(entry("a", backend.port)))
+            gateway_config = config(discovery.port, None, endpoint_snapshot(entry("a", backend.port)))
             async with gateway(replace(gateway_config, mgmt=(HOST, 0))) as app:
 
                 async def record_call(line: bytes) -> None:
@@ -136,13 +136,13 @@
                 for line in (b"STATUS\n", b"METRICS\n"):
                     await record_call(line)
                 for number in range(3):
-                    await ask(app, query(f"r{number}"))
-                await ask(app, query("w", "load-send", key="1" * 16))
+                    await send_commands(app, query(f"r{number}"))
+                await send_commands(app, query("w", "load-send", key="1" * 16))
                 await record_call(b"METRICS\n")
                 await record_call(b"PAUSE\n")
                 await until(lambda: app.lifecycle.shutdown.state is ShutdownState.PAUSED)
                 await record_call(b"STATUS\n")
-                lines.append(f"client, paused: {await ask(app, resp('PING'))!r}")
+                lines.append(f"client, paused: {await send_commands(app, resp('PING'))!r}")
                 await record_call(b"RESUME\n")
                 for line in (
                     b"STATUS\n",
@@ -156,7 +156,7 @@
                     b"FLEET " + b"x" * MAX_FLEET_LINE_BYTES + b"\n",
                 ):
                     await record_call(line)
-                lines.append(f"client, resumed: {await ask(app, resp('PING'))!r}")
+                lines.append(f"client, resumed: {await send_commands(app, resp('PING'))!r}")
 
     run_test(record)
     return lines
--- a/tests/gateway/test_golden_hot_restart.py
+++ b/tests/gateway/test_golden_hot_restart.py
@@ -28,13 +28,15 @@
 )
 
 
-def driven_engine() -> policy_drive.Drive:
+def driven_engine() -> policy_drive.PolicyDriver:
     """A decision module whose quotas, servers and balancer have all been in use."""
     engine = DecisionEngine(policy_drive.SETTINGS, FIRST_SEED)
     engine.handle(samples.START, api.EndpointList(api.ListScope.CACHED, policy_drive.SERVERS))
-    drive = policy_drive.Drive(engine, FIRST_SEED, samples.START)
-    drive.schedule(policy_drive.FRESH_AT, api.EndpointList(api.ListScope.CHANGES, (policy_drive.FRESH,)))
-    drive.play(EVENTS)
+    drive = policy_drive.PolicyDriver(engine, FIRST_SEED, samples.START)
+    drive.schedule(
+        policy_drive.NEW_SERVER_AT_MS, api.EndpointList(api.ListScope.CHANGES, (policy_drive.NEW_SERVER,))
+    )
+    drive.handle_events(EVENTS)
     reset_quota = engine._quota._quotas[8]
     reset_quota.epoch, reset_quota.previous_epoch = 3, 2  # as after a counter that lost its data
     return drive
@@ -53,7 +55,7 @@
     return state_snapshot.decode(body, checksum)
 
 
-def successor(state: bytes, now: float) -> policy_drive.Drive:
+def successor(state: bytes, now: float) -> policy_drive.PolicyDriver:
     """A new module that continues from a state, with its first actions being executed."""
     engine = DecisionEngine(policy_drive.SETTINGS, SECOND_SEED)
     servers = tuple(
@@ -61,7 +63,7 @@
     )
     engine.handle(now, api.EndpointList(api.ListScope.CACHED, servers))
     actions = state_snapshot.restore_snapshot(engine, now, decoded(state), NUMBERS)
-    drive = policy_drive.Drive(engine, SECOND_SEED, now)
+    drive = policy_drive.PolicyDriver(engine, SECOND_SEED, now)
     drive.answer(actions)
     return drive
 
@@ -111,7 +113,7 @@
 
 def test_a_successor_continues_with_the_golden_actions() -> None:
     drive = successor(golden(STATE), end_of_drive())
-    drive.play(EVENTS_AFTER)
+    drive.handle_events(EVENTS_AFTER)
     assert_golden(ACTIONS, text_lines(drive.record))
 
 
--- a/tests/gateway/test_hot_restart.py
+++ b/tests/gateway/test_hot_restart.py
@@ -30,10 +30,10 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     query,
     read_reply,
-    roster,
 )
 
 TAKE = b"TAKE %d\n" % state_snapshot.VERSION
@@ -123,7 +123,7 @@
             Counter() as counter,
             Discovery(entry("a", backend.port)) as discovery,
         ):
-            gateway_config = config(discovery.port, counter.port, roster(entry("a", backend.port)))
+            gateway_config = config(discovery.port, counter.port, endpoint_snapshot(entry("a", backend.port)))
             yield (
                 replace(
                     gateway_config,
@@ -199,7 +199,7 @@
                 served > 40
                 and served + sum(str(response).startswith("-BUSY") for response in responses) == sent_count
             )
-            assert backend.books.units[5] == served and counter.units == pytest.approx(served)
+            assert backend.ledger.units[5] == served and counter.units == pytest.approx(served)
             assert list(tmp_path.iterdir()) == []
 
     run_test(test)
--- a/tests/gateway/test_operations.py
+++ b/tests/gateway/test_operations.py
@@ -28,7 +28,7 @@
 from badgeryoke.gateway.metrics import Metrics
 from badgeryoke.gateway.resp import client_connection as client_connection_module
 from tests.decisions.test_simulator_adapter import PARAMS
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import (
     HOST,
     Backend,
@@ -36,10 +36,10 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     gateway,
     query,
-    roster,
 )
 
 
@@ -54,7 +54,9 @@
         Counter() as counter,
     ):
         gateway_config = config(
-            discovery.port, counter.port if with_counter else None, roster(entry("a", backend.port))
+            discovery.port,
+            counter.port if with_counter else None,
+            endpoint_snapshot(entry("a", backend.port)),
         )
         async with gateway(replace(gateway_config, mgmt=(HOST, 0), drain_s=drain_s)) as app:
             yield app, backend
@@ -177,11 +179,11 @@
             writer.write(query("open", "load-send", key="k0"))
             await until(lambda: len(backend.commands) == 1)
             assert (await read_metrics(app))["lb_pending"] == 1
-            answers = [await ask(app, query(f"f{n}", "load-send", key=f"k{n}")) for n in (1, 2)]
-            answers += [await ask(app, query(f"s{n}")) for n in range(3)]
-            answers.append(await ask(app, query("big", units=6, plan="small", customer=9)))
-            answers.append(await ask(app, query("over", units=6, plan="small", customer=9)))
-            answers.append(await ask(app, query("over2", units=6, plan="small", customer=9)))
+            answers = [await send_commands(app, query(f"f{n}", "load-send", key=f"k{n}")) for n in (1, 2)]
+            answers += [await send_commands(app, query(f"s{n}")) for n in range(3)]
+            answers.append(await send_commands(app, query("big", units=6, plan="small", customer=9)))
+            answers.append(await send_commands(app, query("over", units=6, plan="small", customer=9)))
+            answers.append(await send_commands(app, query("over2", units=6, plan="small", customer=9)))
             backend.writers[0].write(b"*1\r\n$1\r\nv\r\n")
             assert await reader.readexactly(7) == b"$1\r\nv\r\n"
             writer.close()
@@ -266,7 +268,7 @@
             assert await call(app) == ["+OK drained"]
             backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
             assert await busy_reader.read() == b"$4\r\nlast\r\n"  # its response, then the connection's end
-            assert await ask(app, query("late")) == [b"value"]  # a late client gets one response
+            assert await send_commands(app, query("late")) == [b"value"]  # a late client gets one response
             assert await call(app, b"RESUME\n") == ["+OK"]
             back_reader, back = await connect(app.lifecycle.address)
             for n in range(2):
--- a/tests/gateway/test_quota_counter_faults.py
+++ b/tests/gateway/test_quota_counter_faults.py
@@ -180,7 +180,7 @@
         async with Counter() as counter:
             calls = CounterCalls(counter.port)
             await calls.connected()
-            counter.held.clear()
+            counter.may_answer.clear()
             calls.client.add(7, 3.0, 1000.0, calls.replies.put_nowait)
             await until(lambda: counter.totals["7"])
             calls.now_ms += 45.0
@@ -192,7 +192,7 @@
             calls.now_ms += 6.0
             assert (await calls.replies.get()).verdict is Verdict.TIMEOUT  # the call for 7
             counter.answer = lambda total: total + b"\r\n" if total == b"3" else b"$1\r\n%b\r\n" % total
-            counter.held.set()
+            counter.may_answer.set()
             reply = await calls.replies.get()
             assert (reply.name, reply.total, counter.connections) == (8, 5.0, 1)
             calls.client.close()
@@ -209,7 +209,7 @@
         async with Counter() as counter, Counter() as new_counter:
             calls = CounterCalls(counter.port)
             await calls.connected()
-            counter.held.clear()
+            counter.may_answer.clear()
             replies_by_name: Tally[int] = Tally()
             verdicts: Tally[Verdict] = Tally()
 
@@ -234,7 +234,7 @@
             )
             assert set(replies_by_name.values()) == {1} and len(replies_by_name) == MAX_PENDING_CALLS + 40
             assert verdicts == {Verdict.QUEUE_FULL: 40, Verdict.TIMEOUT: MAX_PENDING_CALLS}
-            counter.held.set()
+            counter.may_answer.set()
             await calls.connected()
             calls.client.close()
 
--- a/tests/gateway/test_reload.py
+++ b/tests/gateway/test_reload.py
@@ -20,7 +20,7 @@
 from badgeryoke.gateway.config.platform_file import read_config
 from tests.decisions.test_simulator_adapter import PARAMS
 from tests.support import samples
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import (
     HOST,
     KEYED,
@@ -30,9 +30,9 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     query,
-    roster,
 )
 from tests.support.stand_ins import settings as build_settings
 
@@ -101,7 +101,7 @@
 
 async def reloading(new_config: Callable[[Config], Config], test: Any, *backends: Backend) -> None:
     async with backends[0] as backend, Discovery(entry("a", backend.port)) as discovery:
-        current = config(discovery.port, None, roster(entry("a", backend.port)))
+        current = config(discovery.port, None, endpoint_snapshot(entry("a", backend.port)))
         app = GatewayApplication(current, lambda: NOW_MS, lambda: new_config(current))
         app.start()
         await until(lambda: app.parts.discovery.ready)
@@ -127,10 +127,12 @@
         writer.write(query("open", "load-send", key="k"))
         await until(lambda: len(backend.commands) == 1)
         app.reload()
-        assert "syntax" in str(await ask(app, query("gone")))
-        assert "syntax" in str(await ask(app, query("wrong", "load-send", key="k2")))  # now an SVC.QUERY
-        assert await ask(app, query("new", "fresh")) == [b"value"]
-        assert await ask(app, query("changed", "load-send", d=65_000)) == [b"value"]
+        assert "syntax" in str(await send_commands(app, query("gone")))
+        assert "syntax" in str(
+            await send_commands(app, query("wrong", "load-send", key="k2"))
+        )  # now an SVC.QUERY
+        assert await send_commands(app, query("new", "fresh")) == [b"value"]
+        assert await send_commands(app, query("changed", "load-send", d=65_000)) == [b"value"]
         backend.writers[0].write(b"-ERR failed\r\n")  # it has a key and may be retried, by the old rules
         assert await reader.readexactly(11) == b"$5\r\nvalue\r\n"
         by_id = [(command[0], command[2]) for command in backend.commands]
@@ -150,7 +152,7 @@
 
     async def test(app: GatewayApplication, backend: Backend) -> None:
         app.reload()
-        assert "BUSY" in str(await ask(app, query("one")))
+        assert "BUSY" in str(await send_commands(app, query("one")))
         assert len(backend.commands) == 1
 
     run_test(lambda: reloading(new_config, test, Backend(script=[b"-BUSY\r\n"])))
@@ -178,11 +180,11 @@
         app.parts.config = replace(app.parts.config, file_shape={"a": None, "b": None})
         app.reload()
         app.reload()  # lacks b
-        assert await ask(app, query("kept", "load-send", key="k")) == [b"value"]
+        assert await send_commands(app, query("kept", "load-send", key="k")) == [b"value"]
         app.parts.config = replace(app.parts.config, file_shape=None)
         app.reload()
         app.reload()
-        assert await ask(app, query("back", "load-send", key="k2")) == [b"value"]
+        assert await send_commands(app, query("back", "load-send", key="k2")) == [b"value"]
         assert (app.parts.dispatcher.metrics.reloads, app.parts.dispatcher.metrics.reload_errors) == (2, 2)
         app.pause()
         files[:] = [first_config]
@@ -190,7 +192,7 @@
         assert app.parts.discovery.backoff.longest_pause_s == 2.0
         app.reload()  # during a drain
         app.resume()
-        assert "syntax" in str(await ask(app, query("gone", "load-send", key="k3")))
+        assert "syntax" in str(await send_commands(app, query("gone", "load-send", key="k3")))
 
     run_test(lambda: reloading(new_config, test, Backend()))
 
--- a/tests/gateway/test_response_stream.py
+++ b/tests/gateway/test_response_stream.py
@@ -16,7 +16,7 @@
     BufferBudget,
     ResponseStream,
 )
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import connect, one_gateway, query
 
 TAIL = b"\r\n$13\r\nused=1,cost=2\r\n$23\r\ninflight=1,latency_ms=9\r\n"
@@ -98,10 +98,10 @@
         long_value = value(MAX_STREAMED_BYTES)
         script = [b"*3\r\n$%d\r\n" % MAX_STREAMED_BYTES + long_value + TAIL, b"*1\r\n$5\r\nsmall\r\n"]
         async with one_gateway(script=script) as (app, backend, _):
-            assert await ask(app, query("r1"), query("r2")) == [long_value, b"small"] or {
+            assert await send_commands(app, query("r1"), query("r2")) == [long_value, b"small"] or {
                 command[2] for command in backend.commands
             } == {b"r1", b"r2"}
-            assert await ask(app, query("r3")) == [b"value"]
+            assert await send_commands(app, query("r3")) == [b"value"]
             assert app.parts.dispatcher.metrics.finished["balance-check"] == [3, 0, 0]
             assert app.parts.stream_budget.open_streams == 0 and app.parts.dispatcher.unanswered == 0
 
@@ -122,7 +122,7 @@
             backend.writers[0].write(TAIL[:2])  # the value's line end: the client has the complete value now
             assert await reader.readexactly(2) == b"\r\n"
             backend.writers[0].write(TAIL[2:])
-            assert await ask(app, query("r2")) == [b"value"]
+            assert await send_commands(app, query("r2")) == [b"value"]
             writer.close()
 
     run_test(test)
@@ -144,7 +144,7 @@
                 assert stream is not None
                 await until(lambda: stream.full)
                 for n in range(20):
-                    assert await ask(app, query(f"beside{n}")) == [b"value"]
+                    assert await send_commands(app, query(f"beside{n}")) == [b"value"]
                     assert (
                         stream.buffered_bytes
                         <= MAX_WINDOW_BYTES + upstream_connection_module.STREAM_READ_BYTES * 4
--- a/tests/gateway/test_service.py
+++ b/tests/gateway/test_service.py
@@ -28,7 +28,7 @@
 from tests.decisions.test_simulator_adapter import PARAMS
 from tests.support.counter import CounterCalls
 from tests.support.paths import ROOT
-from tests.support.running import ask, run_test, until
+from tests.support.running import run_test, send_commands, until
 from tests.support.stand_ins import (
     HOST,
     NOW_MS,
@@ -37,12 +37,12 @@
     Discovery,
     config,
     connect,
+    endpoint_snapshot,
     entry,
     one_gateway,
     query,
     read_reply,
     resp,
-    roster,
 )
 
 # Reload -----------------------------------------------------------------------------------------------
@@ -58,7 +58,9 @@
             Discovery(entry("a", backend.port)) as discovery,
             Discovery(entry("b", new_backend.port)) as new_discovery,
         ):
-            gateway_config = config(discovery.port, old_counter.port, roster(entry("a", backend.port)))
+            gateway_config = config(
+                discovery.port, old_counter.port, endpoint_snapshot(entry("a", backend.port))
+            )
             app = GatewayApplication(
                 gateway_config,
                 lambda: NOW_MS,
@@ -70,18 +72,18 @@
             await until(lambda: app.parts.discovery.ready)
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("open"))
-            await backend.books.arrived.wait()
-            old_counter.held.clear()
+            await backend.ledger.arrived.wait()
+            old_counter.may_answer.clear()
             waiting_reader, waiting = await connect(app.lifecycle.address)
             waiting.write(query("waits", units=2, customer=6))  # its call is in flight at the old counter
             await until(lambda: old_counter.units == 3)
             app.reload()
             await until(lambda: new_discovery.calls and new_counter.connections)
-            while await ask(app, query("after", units=3, customer=7)) != [b"value"]:
+            while await send_commands(app, query("after", units=3, customer=7)) != [b"value"]:
                 await asyncio.sleep(0)
             # No call was repeated, or made at the old counter.
             assert new_counter.units >= 3 and old_counter.units == 3
-            old_counter.held.set()
+            old_counter.may_answer.set()
             assert await read_reply(waiting_reader) == b"value"
             backend.writers[0].write(b"*1\r\n$4\r\nlast\r\n")
             assert await read_reply(reader) == b"last"  # on its connection from before the reload
@@ -98,12 +100,14 @@
     async def test() -> None:
         async with Backend() as backend, Discovery(entry("a", backend.port)) as discovery:
             app = GatewayApplication(
-                config(discovery.port, None, roster(entry("a", backend.port))), lambda: NOW_MS, faulty
+                config(discovery.port, None, endpoint_snapshot(entry("a", backend.port))),
+                lambda: NOW_MS,
+                faulty,
             )
             app.start()
             await until(lambda: app.parts.discovery.ready)
             app.reload()
-            assert await ask(app, query()) == [b"value"]
+            assert await send_commands(app, query()) == [b"value"]
             app.end()
             await app.done.wait()
 
@@ -206,7 +210,7 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             busy_reader, busy = await connect(app.lifecycle.address)
             busy.write(query("busy"))
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             idle: list[asyncio.StreamReader] = []
             for n in range(6):
                 reader, writer = await connect(app.lifecycle.address)
@@ -287,7 +291,7 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("whole") + resp("PING")[:6])
-            await backend.books.arrived.wait()
+            await backend.ledger.arrived.wait()
             [connection] = app.parts.resp_listener.connections
             await until(lambda: connection._closing)
             backend.writers[0].write(b"*1\r\n$4\r\nkept\r\n")
@@ -365,9 +369,9 @@
     async def test() -> None:
         async with one_gateway() as (app, backend, _):
             for case, (old, new) in MALFORMED.items():
-                [answer] = await ask(app, query_with(old, new))
+                [answer] = await send_commands(app, query_with(old, new))
                 assert str(answer).startswith("-ERR "), case
-            assert await ask(app, query_with("r1", "r1")) == [b"value"]
+            assert await send_commands(app, query_with("r1", "r1")) == [b"value"]
             assert len(backend.commands) == 1
 
     run_test(test)
@@ -393,12 +397,12 @@
         async with one_gateway(script=[None]) as (app, backend, _):
             reader, writer = await connect(app.lifecycle.address)
             writer.write(query("mine"))
-            await backend.books.arrived.wait()
-            [answer] = await ask(app, query("mine", customer=6))
+            await backend.ledger.arrived.wait()
+            [answer] = await send_commands(app, query("mine", customer=6))
             assert str(answer).startswith("-ERR") and len(backend.commands) == 1
             backend.writers[0].write(b"*1\r\n$4\r\nkept\r\n")
             assert await read_reply(reader) == b"kept"
-            assert await ask(app, query("mine")) == [b"value"]  # it is closed now
+            assert await send_commands(app, query("mine")) == [b"value"]  # it is closed now
 
     run_test(test)
 
@@ -458,8 +462,8 @@
 
     async def test() -> None:
         async with one_gateway(script=[GOOD + extra]) as (app, backend, _):
-            assert await ask(app, query("r1", "load-send", key="1" * 16)) == [b"good"]
-            assert await ask(app, query("r2")) == [b"value"]
+            assert await send_commands(app, query("r1", "load-send", key="1" * 16)) == [b"good"]
+            assert await send_commands(app, query("r2")) == [b"value"]
             assert len(backend.commands) == 2 and backend.connections == 2
 
     run_test(test)
@@ -504,7 +508,7 @@
 
     async def test() -> None:
         async with one_gateway(script=[answer]) as (app, backend, _):
-            assert await ask(app, query()) == [b"value"]
+            assert await send_commands(app, query()) == [b"value"]
             assert len(backend.commands) == 2 and backend.connections == 2
 
     run_test(test)
--- a/tests/support/cluster_digest.py
+++ b/tests/support/cluster_digest.py
@@ -49,7 +49,7 @@
 GOLDEN = ROOT / "tests" / "golden" / "digests" / "cluster.json"
 
 
-def check(name: str, digest: Digest) -> None:
+def assert_digest(name: str, digest: Digest) -> None:
     """Compare a stream with what was recorded; one that was never recorded fails."""
     golden: dict[str, list[object]] = json.loads(GOLDEN.read_text())
     assert name in golden, f"no digest is recorded for {name}"
--- a/tests/support/cluster_history.py
+++ b/tests/support/cluster_history.py
@@ -51,10 +51,19 @@
 from badgeryoke.cluster.state_machine_part import FLEET, ApplyResult, Command
 from badgeryoke.cluster.timings import Timings
 from badgeryoke.gateway.cluster.storage import ClusterStorage, open_storage
-from tests.support.cluster_samples import CLUSTER, CONFIG, FACTS, FOUNDING, OWED, SERVER, START_MS, TERMS
+from tests.support.cluster_samples import (
+    BOOTSTRAP_RECORD,
+    CLUSTER,
+    CONDITIONS,
+    CONFIG,
+    SERVER,
+    START_MS,
+    TERMS,
+    USAGE_LINES,
+)
 
 MEMBER, INCARNATION = "a", "1"
-OTHER = "g1"  # a group beside the fleet's own
+TENANT_GROUP = "g1"  # a group beside the fleet's own
 SNAPSHOT_AT = 12  # of the entries of each group lie in its snapshot, the others behind it
 BUCKET = server_bucket(SERVER)
 TENANT, CONTRACT = "north", "payday"
@@ -128,7 +137,7 @@
     ),
     (
         62_004.0,
-        StartWave(id="r4", restart="nightly", restart_version=2, gateways=("b",), conditions=FACTS),
+        StartWave(id="r4", restart="nightly", restart_version=2, gateways=("b",), conditions=CONDITIONS),
     ),
     (
         62_005.0,
@@ -144,7 +153,7 @@
             gateway="b",
             gateway_version=1,
             event="ROOMY",
-            conditions=FACTS,
+            conditions=CONDITIONS,
             restart_version=4,
         ),
     ),
@@ -190,7 +199,7 @@
     )
 
 
-OTHER_HISTORY: tuple[tuple[float, Command], ...] = (
+TENANT_GROUP_HISTORY: tuple[tuple[float, Command], ...] = (
     (0.0, key_value.PutValue(id="p1", name="payday", value="armed")),
     (1.0, key_value.PutValue(id="p2", name="payday", value="off")),
     (
@@ -212,8 +221,8 @@
     ),
     (4.0, _connections(2, "a/1#boot.9", 0, 0, 8, False)),
     (5.0, _connections(3, "b/2#boot.7", 0, 0, 30, True)),
-    (6.0, unreported_usage.RecordUsage(id="o1", tenant=TENANT, recorded_by="a/1", lines=OWED)),
-    (7.0, unreported_usage.RecordUsage(id="o2", tenant=TENANT, recorded_by="b/2", lines=OWED[:1])),
+    (6.0, unreported_usage.RecordUsage(id="o1", tenant=TENANT, recorded_by="a/1", lines=USAGE_LINES)),
+    (7.0, unreported_usage.RecordUsage(id="o2", tenant=TENANT, recorded_by="b/2", lines=USAGE_LINES[:1])),
     (
         60_100.0,
         unreported_usage.ClaimUsage(id="o3", tenant=TENANT, batch="o1", reporter="b/2"),
@@ -246,9 +255,12 @@
     ),
     (60_502.0, _lease(7, "a/1", 1, 1, 20.0, 40.0, False)),  # comes behind a later one
     (60_503.0, ReleaseLease(id="f8", tenant=TENANT, contract=CONTRACT, holder="b/2", lease_number=2)),
-    (60_504.0, unreported_usage.RecordUsage(id="o4", tenant=TENANT, recorded_by="c/3", lines=OWED)),
+    (60_504.0, unreported_usage.RecordUsage(id="o4", tenant=TENANT, recorded_by="c/3", lines=USAGE_LINES)),
     (60_505.0, unreported_usage.ClaimUsage(id="o5", tenant=TENANT, batch="o4", reporter="a/1")),
-    (60_506.0, unreported_usage.RecordUsage(id="o6", tenant=TENANT, recorded_by="c/3", lines=OWED[1:])),
+    (
+        60_506.0,
+        unreported_usage.RecordUsage(id="o6", tenant=TENANT, recorded_by="c/3", lines=USAGE_LINES[1:]),
+    ),
     (60_507.0, unreported_usage.ClaimUsage(id="o7", tenant=TENANT, batch="o6", reporter="a/1")),
     (
         60_508.0,
@@ -275,14 +287,14 @@
     (60_512.0, RemoveConnectionLimit(id="s7", server="never:1")),
     (63_500.0, SwitchVersion(id="f9", tenant=TENANT, contract=CONTRACT)),
 )
-HISTORIES = {FLEET: FLEET_HISTORY, OTHER: OTHER_HISTORY}
+HISTORIES = {FLEET: FLEET_HISTORY, TENANT_GROUP: TENANT_GROUP_HISTORY}
 
 
 def new_state(group: str) -> GroupStateMachine:
     """A group as it is before its first entry."""
     state = GroupStateMachine(group, Timings(), Invariants(strict=True))
     if group == FLEET:
-        state.parts["placing"].initialize(FOUNDING)
+        state.parts["placing"].initialize(BOOTSTRAP_RECORD)
     return state
 
 
@@ -318,7 +330,10 @@
     disk = open_storage(folder, CLUSTER, MEMBER, new_incarnation=lambda: INCARNATION)
     assert isinstance(disk, ClusterStorage), disk
     founding = Snapshot(
-        last_included_index=1, last_included_term=1, config=CONFIG, body=msgspec.msgpack.encode(FOUNDING)
+        last_included_index=1,
+        last_included_term=1,
+        config=CONFIG,
+        body=msgspec.msgpack.encode(BOOTSTRAP_RECORD),
     )
     disk.write([PersistRecords(FOUNDING_GROUP, 1, (founding,))])
     for group in HISTORIES:
@@ -350,7 +365,7 @@
             ]
         )
     change = LogEntry(index=4, term=4, kind=EntryKind.CONFIG, body=encode_config(CONFIG))
-    start = (first_snapshot("g0"), Entries((*history_entries(OTHER)[:3], change)))
+    start = (first_snapshot("g0"), Entries((*history_entries(TENANT_GROUP)[:3], change)))
     disk.write([PersistRecords("g0", 1, (HardState(current_term=4, voted_for="b/2"), *start))])
     disk.write([PersistRecords("g2", 1, start), PersistRecords("g2", 2, (DiscardGroup(),))])
     return disk
--- a/tests/support/cluster_samples.py
+++ b/tests/support/cluster_samples.py
@@ -78,11 +78,11 @@
     messages.LogEntry(index=9, term=3, kind=messages.EntryKind.CONFIG, body=encode_config(CONFIG)),
     messages.LogEntry(index=10, term=4, kind=messages.EntryKind.NOTHING, body=b""),
 )
-RUMOURS = (
+GOSSIP_UPDATES = (
     messages.GossipUpdate(who="c/3", state=1, count=5, by="a/1"),
     messages.GossipUpdate(who="d/4", state=3, count=2, by="b/2"),
 )
-FOUNDING = BootstrapRecord(
+BOOTSTRAP_RECORD = BootstrapRecord(
     cluster_name=CLUSTER,
     bootstrap_id="5ca1ab1e",
     created_by="a/1",
@@ -138,13 +138,16 @@
     ("leader-transfer", messages.TimeoutNow(group="g1", term=4)),
     ("forwarded-call", messages.ForwardedCall(token="a.77", group="g1", body=b"\x92call", hops=2)),
     ("forwarded-answer", messages.ForwardedReply(token="a.77", body=b"\x93answer")),
-    ("ping", messages.Ping(seq=21, target="b/2", gossip=RUMOURS, wall_clock_ms=START_MS + 0.5)),
-    ("ping-answer", messages.Ack(seq=21, target="b/2", gossip=RUMOURS, wall_clock_ms=START_MS + 1.25)),
-    ("indirect-ping", messages.PingRequest(seq=22, target="c/3", gossip=RUMOURS)),
-    ("indirect-ping-refused", messages.Nack(seq=22, target="c/3", gossip=RUMOURS)),
+    ("ping", messages.Ping(seq=21, target="b/2", gossip=GOSSIP_UPDATES, wall_clock_ms=START_MS + 0.5)),
+    ("ping-answer", messages.Ack(seq=21, target="b/2", gossip=GOSSIP_UPDATES, wall_clock_ms=START_MS + 1.25)),
+    ("indirect-ping", messages.PingRequest(seq=22, target="c/3", gossip=GOSSIP_UPDATES)),
+    ("indirect-ping-refused", messages.Nack(seq=22, target="c/3", gossip=GOSSIP_UPDATES)),
     ("bootstrap-question", messages.IdentityQuery(sender_zone="east")),
-    ("bootstrap-answer", messages.Announce(zone="west", bootstrap_record=msgspec.msgpack.encode(FOUNDING))),
-    ("bootstrap-record", messages.ClusterFounded(bootstrap_record=msgspec.msgpack.encode(FOUNDING))),
+    (
+        "bootstrap-answer",
+        messages.Announce(zone="west", bootstrap_record=msgspec.msgpack.encode(BOOTSTRAP_RECORD)),
+    ),
+    ("bootstrap-record", messages.ClusterFounded(bootstrap_record=msgspec.msgpack.encode(BOOTSTRAP_RECORD))),
 )
 
 TERMS = ContractTerms(
@@ -164,14 +167,14 @@
         ),
     ),
 )
-FACTS = ClusterConditions(
+CONDITIONS = ClusterConditions(
     missing_copies=0,
     spare_voters=1,
     emptied_zones=0,
     remaining_units_per_s=800.5,
     required_units_per_s=600.25,
 )
-OWED = (
+USAGE_LINES = (
     unreported_usage.UsageLine(name="quota-7", units=12.5, expire_ms=60_000.0),
     unreported_usage.UsageLine(name="quota-8", units=-3.0, expire_ms=1.0),
 )
@@ -299,7 +302,7 @@
             reported_by="a/1#boot.10",
         ),
     ),
-    ("owe", unreported_usage.RecordUsage(id="o1", tenant="north", recorded_by="a/1", lines=OWED)),
+    ("owe", unreported_usage.RecordUsage(id="o1", tenant="north", recorded_by="a/1", lines=USAGE_LINES)),
     ("claim", unreported_usage.ClaimUsage(id="o2", tenant="north", batch="o1", reporter="b/2")),
     (
         "owed-told",
@@ -339,7 +342,7 @@
     ),
     (
         "roll-wave",
-        StartWave(id="r5", restart="nightly", restart_version=2, gateways=("b",), conditions=FACTS),
+        StartWave(id="r5", restart="nightly", restart_version=2, gateways=("b",), conditions=CONDITIONS),
     ),
     (
         "roll-step",
@@ -349,7 +352,7 @@
             gateway="b",
             gateway_version=1,
             event="ROOMY",
-            conditions=FACTS,
+            conditions=CONDITIONS,
             restart_version=3,
         ),
     ),
@@ -431,11 +434,11 @@
     _plain("applied", ApplyResult(value={"parts": [[SERVER, 3, 8, 8, 0]], "old": []}, error=None)),
     Case("configuration", CONFIG, encode_config, msgspec.msgpack.Decoder(messages.GroupConfiguration).decode),
     *(_plain(f"log-entry/{entry.index}", entry) for entry in ENTRIES),
-    _plain("rumour", RUMOURS[0]),
-    _plain("bootstrap-record", FOUNDING),
+    _plain("rumour", GOSSIP_UPDATES[0]),
+    _plain("bootstrap-record", BOOTSTRAP_RECORD),
     _plain("terms", TERMS),
-    _plain("roll-facts", FACTS),
-    _plain("owed-line", OWED[0]),
+    _plain("roll-facts", CONDITIONS),
+    _plain("owed-line", USAGE_LINES[0]),
     _plain("copy-on-its-way", placement_state.ReplicaMove(lost="b/2", new="d/4", started_at_ms=START_MS)),
     _plain(
         "placed-group",
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -20,10 +20,10 @@
 
 OK = b"HTTP/1.1 200 OK\r\n"
 OVERLOADED = b"HTTP/1.1 503 No room\r\nContent-Length: 0\r\n\r\n"
-GONE = {"id": "a", "state": "left"}
+GONE_ENTRY = {"id": "a", "state": "left"}
 
 
-class AgentMood(Enum):
+class AgentBehaviour(Enum):
     """How an agent answers polls."""
 
     ANSWERING = "answering"
@@ -39,7 +39,7 @@
         super().__init__()
         self.history: list[dict[str, Any]] = [entry("a", 1), entry("b", 2)]  # version n: the first n
         self.changed = asyncio.Event()
-        self.mood = AgentMood.ANSWERING
+        self.behaviour = AgentBehaviour.ANSWERING
         self.polled_at: list[float] = []
         self.abandoned_at: list[float] = []  # when polls that stayed unanswered were given up
         self.indent: int | None = None
@@ -61,20 +61,22 @@
         while True:
             path = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
             self.polled_at.append(asyncio.get_running_loop().time())
-            if self.mood is AgentMood.SILENT or (self.mood is AgentMood.SILENT_AFTER_FIRST and not first):
+            if self.behaviour is AgentBehaviour.SILENT or (
+                self.behaviour is AgentBehaviour.SILENT_AFTER_FIRST and not first
+            ):
                 await reader.read()
                 self.abandoned_at.append(asyncio.get_running_loop().time())
                 return
             first = False
             parameters = dict(part.split("=") for part in path.partition("?")[2].split("&") if part)
             version = int(parameters.get("after", 0))
-            if self.mood is AgentMood.OVERLOADED:
+            if self.behaviour is AgentBehaviour.OVERLOADED:
                 writer.write(OVERLOADED)
                 continue
             if version >= len(self.history):
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self.changed.wait(), int(parameters["wait_ms"]) / 1000)
-                if self.mood is not AgentMood.ANSWERING:
+                if self.behaviour is not AgentBehaviour.ANSWERING:
                     await reader.read()
                     return
             body = json.dumps(
--- a/tests/support/event_streams.py
+++ b/tests/support/event_streams.py
@@ -64,17 +64,19 @@
     servers: int = 9
     zones: tuple[str, ...] = ("a", "b")
     customers: int = 25
-    requests_a_second: float = 60.0  # to each module
+    requests_per_second: float = 60.0  # to each module
     work_ms: float = 60.0
     cores: int = 3
     spread: int = 3
-    streamed: frozenset[str] = frozenset()  # classes whose answers begin before they end
+    streamed_classes: frozenset[str] = frozenset()  # classes whose answers begin before they end
     reserved_share: float = 0.0
     server_trouble: float = 0.3  # share of servers in trouble, ...
     server_troubles: tuple[ServerTrouble, ...] = tuple(ServerTrouble)  # ... and what is wrong with them
     counter_trouble: tuple[CounterTrouble, ...] = tuple(CounterTrouble)
-    elsewhere: float = 0.5  # units that other gateways add to a name, for each unit of these modules
-    handover_at: int = 0  # after so many events the first module hands over; 0: never
+    other_gateway_units: float = (
+        0.5  # units that other gateways add to a name, for each unit of these modules
+    )
+    handover_after_events: int = 0  # after so many events the first module hands over; 0: never
     make: Callable[[api.Settings, int], Module] = DecisionEngine
 
 
@@ -110,7 +112,7 @@
     run: Callable[[], None] = field(compare=False)
 
 
-def told(action: api.Action) -> tuple[object, ...]:
+def action_values(action: api.Action) -> tuple[object, ...]:
     """An action as plain values, its kind first."""
     if isinstance(action, api.SendAttempt):
         return "send", action.id, action.server, action.timeout_ms
@@ -134,8 +136,8 @@
 class CounterModel:
     """Totals by name, on one side or on two while it is split."""
 
-    def __init__(self, draw: random.Random, elsewhere: float) -> None:
-        self._draw, self._elsewhere = draw, elsewhere
+    def __init__(self, draw: random.Random, other_gateway_units: float) -> None:
+        self._draw, self._elsewhere = draw, other_gateway_units
         self._sides: list[dict[int, float]] = [{}]
         self.trouble = CounterTrouble.NONE
 
@@ -190,7 +192,7 @@
 
     def __init__(self, stream: Stream) -> None:
         self.stream, self.digest = stream, Digest()
-        self.kinds: dict[
+        self.action_counts: dict[
             str, int
         ] = {}  # how often each kind of action came, to see that a stream is not empty
         self._draw = draw = random.Random(stream.seed)
@@ -198,7 +200,7 @@
         self._timers: list[Timer] = []
         self._made = self._events = self._requests = 0
         self._open: dict[str, OpenRequest] = {}
-        self._counter = CounterModel(draw, stream.elsewhere)
+        self._counter = CounterModel(draw, stream.other_gateway_units)
         self._settings = stream.settings
         self._modules = [
             stream.make(replace(stream.settings, gateway_index=number), stream.seed * 100 + number)
@@ -325,7 +327,7 @@
     def _arrive(self, door: int) -> None:
         draw, stream = self._draw, self.stream
         surge = 3.0 if math.sin(self._now / 1700.0) > 0.6 else 1.0
-        self._later(draw.expovariate(stream.requests_a_second * surge / 1000.0), lambda: self._arrive(door))
+        self._later(draw.expovariate(stream.requests_per_second * surge / 1000.0), lambda: self._arrive(door))
         customer = min(
             int(draw.expovariate(3.0 / stream.customers)), stream.customers - 1
         )  # some ask for much more
@@ -432,21 +434,24 @@
         except ValueError:  # a class or plan that is not among the settings
             self.digest.add((self._now, module, "unknown"))
             return False
-        self.digest.add((self._now, module, [told(action) for action in actions]))
+        self.digest.add((self._now, module, [action_values(action) for action in actions]))
         made = self._modules[module]
         if isinstance(made, MonitoredEngine):
             for change in made.take_changes():
-                self.kinds["belief"] = self.kinds.get("belief", 0) + 1
+                self.action_counts["belief"] = self.action_counts.get("belief", 0) + 1
                 self.digest.add((change.at_ms, change.old, change.new, change.symptom, change.hidden))
         for action in actions:
             self._act(module, action)
-        if self._events >= self.stream.handover_at > 0 and len(self._modules) == self.stream.modules:
+        if (
+            self._events >= self.stream.handover_after_events > 0
+            and len(self._modules) == self.stream.modules
+        ):
             self._hand_over()
         return True
 
     def _act(self, module: int, action: api.Action) -> None:
-        kind = str(told(action)[0])
-        self.kinds[kind] = self.kinds.get(kind, 0) + 1
+        kind = str(action_values(action)[0])
+        self.action_counts[kind] = self.action_counts.get(kind, 0) + 1
         if isinstance(action, api.SendAttempt):
             self._send(action)
         elif isinstance(action, api.CancelAttempt):
@@ -498,7 +503,7 @@
                     took, verdict = 1.0, api.Verdict.NOT_SENT
         if took >= action.timeout_ms:
             took, verdict = action.timeout_ms, api.Verdict.TIMEOUT
-        if verdict is api.Verdict.OK and found.request.request_class in self.stream.streamed:
+        if verdict is api.Verdict.OK and found.request.request_class in self.stream.streamed_classes:
             self._later(took, lambda: self._begin(action.id, number))
             took *= 1.5
         self._later(took, lambda: self._ended(action.id, number, verdict))
@@ -574,8 +579,8 @@
         actions = state_snapshot.restore_snapshot(
             new, self._now, state_snapshot.decode(body, checksum), numbers
         )
-        self.digest.add((self._now, number, [told(action) for action in actions]))
-        self.kinds["handover"] = self.kinds.get("handover", 0) + len(actions)
+        self.digest.add((self._now, number, [action_values(action) for action in actions]))
+        self.action_counts["handover"] = self.action_counts.get("handover", 0) + len(actions)
         state_snapshot.mark_transferred(old, handed)
         for action in actions:
             self._act(number, action)
--- a/tests/support/member_network.py
+++ b/tests/support/member_network.py
@@ -28,7 +28,7 @@
 TIMES = Timings()
 
 
-def members_of(count: int) -> tuple[Member, ...]:
+def make_members(count: int) -> tuple[Member, ...]:
     return tuple(Member(f"m{at:03}", "ab"[at % 2]) for at in range(count))
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self, count: int, seed: int, kind: str = "membership") -> None:
         self.draw, self.now, self.kind = random.Random(seed), 0.0, kind
-        self.members = members_of(count)
+        self.members = make_members(count)
         self.nodes: dict[str, Any] = {}
         self.ids: dict[str, MemberId] = {}
         self.disk: dict[str, PersistedGroup] = {}
@@ -48,7 +48,7 @@
         self.queue: list[tuple[float, int, str, MemberId, Any]] = []  # when, order, to, as whom, event
         self.frozen: dict[str, list[tuple[MemberId, Any]]] = {}
         self.sent: Counter[str] = Counter()
-        self.says: list[tuple[float, str, LogEvent]] = []
+        self.log_events: list[tuple[float, str, LogEvent]] = []
         self.order = 0
         self.delay: Callable[[str, str], float | None] = lambda a, b: self.draw.uniform(0.2, 2.0)
 
@@ -82,13 +82,13 @@
         self.order += 1
         heapq.heappush(self.queue, (when, self.order, to, who, event))
 
-    def give(self, name: str, event: Any) -> None:
-        self.carry(name, self.nodes[name].handle(self.now, event))
+    def deliver(self, name: str, event: Any) -> None:
+        self.carry_out(name, self.nodes[name].handle(self.now, event))
 
-    def carry(self, name: str, effects: list[Any]) -> None:
+    def carry_out(self, name: str, effects: list[Any]) -> None:
         for one in effects:
             if isinstance(one, LogEvent):
-                self.says.append((self.now, name, one))
+                self.log_events.append((self.now, name, one))
             elif isinstance(one, PersistRecords):
                 self.put(self.now + self.draw.uniform(1, 20), name, self.ids[name], one)
             elif isinstance(one, SendMessage):
@@ -118,9 +118,9 @@
                     self.frozen[name].append((who, event))
             elif isinstance(event, PersistRecords):
                 self.disk[name] = apply_records(self.disk[name], event)
-                self.give(name, RecordsPersisted(event.group, event.sequence))
+                self.deliver(name, RecordsPersisted(event.group, event.sequence))
             elif not isinstance(event, Tick) or self.now >= self.nodes[name].due:
-                self.give(name, event)
+                self.deliver(name, event)
             else:
                 self.tick(name)
         self.now = until
@@ -130,14 +130,14 @@
             self.put(self.now, name, who, event)
         self.put(self.now, name, self.ids[name], Tick())
 
-    def believed(self, who: str) -> Counter[str]:
+    def state_counts(self, who: str) -> Counter[str]:
         return Counter(one.state_of(who) for name, one in self.nodes.items() if name != member_name(who))
 
-    def buried(self, since: float = 0.0) -> set[str]:
+    def names_reported_dead(self, since: float = 0.0) -> set[str]:
         """Names that anybody has called dead."""
         return {
             member_name(say.fields["who"])
-            for at, _, say in self.says
+            for at, _, say in self.log_events
             if at >= since and say.event == "fleet_member" and say.fields["state"] == "dead"
         }
 
--- a/tests/support/policy_drive.py
+++ b/tests/support/policy_drive.py
@@ -17,8 +17,8 @@
     samples.SETTINGS, plans=(samples.PLAIN, samples.CAPPED, OPEN_CAPPED), max_request_units=2.0
 )
 SERVERS = (samples.server(1), samples.server(2), samples.server(3, "b"), samples.server(4, "b"))
-FRESH_AT = samples.START + 6_000.0
-FRESH = samples.server(5, started=FRESH_AT - 50.0)
+NEW_SERVER_AT_MS = samples.START + 6_000.0
+NEW_SERVER = samples.server(5, started=NEW_SERVER_AT_MS - 50.0)
 CUSTOMERS = {number: ("plain", "capped", "open", "capped")[number % 4] for number in range(7, 23)}
 CLASSES = ("read", "write", "pay")
 VERDICTS = (api.Verdict.OK,) * 12 + (
@@ -33,7 +33,7 @@
 ARRIVAL_MS, ANSWER_MS, COUNTER_MS = 12.0, 60.0, (1.0, 30.0)
 
 
-class Drive:
+class PolicyDriver:
     """Plays events in the order of their times and answers the actions they cause."""
 
     def __init__(self, gateway: DecisionEngine, seed: int, now: float) -> None:
@@ -53,7 +53,7 @@
         self._scheduled += 1
         heapq.heappush(self._due, (at, self._scheduled, event))
 
-    def play(self, events: int) -> None:
+    def handle_events(self, events: int) -> None:
         """Handle so many events; each is recorded with its time and its actions."""
         for _ in range(events):
             self.now, _, event = heapq.heappop(self._due)
--- a/tests/support/running.py
+++ b/tests/support/running.py
@@ -27,7 +27,7 @@
         await asyncio.sleep(0)
 
 
-async def ask(app: GatewayApplication, *commands: bytes) -> list[object]:
+async def send_commands(app: GatewayApplication, *commands: bytes) -> list[object]:
     """The replies to RESP commands that are sent at once, on a connection of their own."""
     reader, writer = await connect(app.lifecycle.address)
     writer.write(b"".join(commands))
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -85,18 +85,18 @@
 
 
 @dataclass
-class Books:
+class RequestLedger:
     """What all servers of a run know together: the units that reached them, and the keys seen."""
 
     units: Tally[int] = field(default_factory=Tally)
     keys: set[str] = field(default_factory=set)
-    dropped: int = 0
+    duplicate_count: int = 0
     arrived: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def book(self, customer: int, units: int, key: str) -> None:
+    def record(self, customer: int, units: int, key: str) -> None:
         self.units[customer] += units
         if key and key in self.keys:
-            self.dropped += 1
+            self.duplicate_count += 1
         elif key:
             self.keys.add(key)
         self.arrived.set()
@@ -105,9 +105,9 @@
 class Backend(Standin):
     """A RESP2 backend; what it answers next can be laid out beforehand, else each command is served."""
 
-    def __init__(self, books: Books | None = None, script: list[bytes | None] | None = None) -> None:
+    def __init__(self, ledger: RequestLedger | None = None, script: list[bytes | None] | None = None) -> None:
         super().__init__()
-        self.books = books or Books()
+        self.ledger = ledger or RequestLedger()
         self.script = list(script or [])  # None: no answer
         self.commands: list[list[bytes]] = []
         self.ended = asyncio.Event()  # a connection was ended by the gateway
@@ -118,7 +118,7 @@
                 command = await read_reply(reader)
                 self.commands.append(command)
                 listed = dict(part.split("=") for part in command[3].decode().split(","))
-                self.books.book(int(command[1], 16), int(listed["units"]), listed.get("k", ""))
+                self.ledger.record(int(command[1], 16), int(listed["units"]), listed.get("k", ""))
                 answer = (
                     self.script.pop(0)
                     if self.script
@@ -143,8 +143,8 @@
         super().__init__()
         self.totals: Tally[str] = Tally()
         self.calls = 0
-        self.held: asyncio.Event = asyncio.Event()
-        self.held.set()
+        self.may_answer: asyncio.Event = asyncio.Event()
+        self.may_answer.set()
         self.answer: Callable[[bytes], bytes] = lambda total: b"$%d\r\n%b\r\n" % (len(total), total)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -154,7 +154,7 @@
             self.calls += 1
             self.totals[name.decode()] += float(amount)  # type: ignore[assignment]
             total = b"%g" % self.totals[name.decode()]
-            await self.held.wait()
+            await self.may_answer.wait()
             writer.write(self.answer(total))
 
     @property
@@ -249,7 +249,7 @@
 
 
 @dataclass
-class Got:
+class ReceivedMessage:
     """A message as it came."""
 
     flags: int
@@ -263,11 +263,11 @@
         return struct.unpack(">I", self.avps[268])[0]  # type: ignore[no-any-return]
 
 
-async def read_message(reader: asyncio.StreamReader) -> Got:
+async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
     head = await reader.readexactly(20)
     first, second, _app, hop, end = struct.unpack(">IIIII", head)
     body = await reader.readexactly((first & 0xFFFFFF) - 20)
-    return Got(second >> 24, second & 0xFFFFFF, hop, end, avps(body))
+    return ReceivedMessage(second >> 24, second & 0xFFFFFF, hop, end, avps(body))
 
 
 def cer(host: str = "pos.example", app: int = 4, hop: int = 1) -> bytes:
@@ -327,23 +327,23 @@
 class DiameterServer(Standin):
     """A credit-control server; Result-Codes to answer with can be laid out beforehand."""
 
-    def __init__(self, books: Books | None = None, script: list[int | None] | None = None) -> None:
+    def __init__(self, ledger: RequestLedger | None = None, script: list[int | None] | None = None) -> None:
         super().__init__()
-        self.books = books or Books()
+        self.ledger = ledger or RequestLedger()
         self.script = list(script or [])
-        self.got: list[Got] = []
-        self.parted = asyncio.Event()  # a DPR has come
+        self.received: list[ReceivedMessage] = []
+        self.disconnect_requested = asyncio.Event()  # a DPR has come
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         base = avp(264, "node.example") + avp(296, "yoke.example")
         while True:
             got = await read_message(reader)
             if got.command == 272:
-                self.got.append(got)
+                self.received.append(got)
                 customer = int(avps(got.avps[443])[444], 16)
                 units = struct.unpack(">Q", avps(got.avps[437])[417])[0]
                 keyed = got.avps[436] == b"\0\0\0\0"
-                self.books.book(customer, units, got.avps[263].decode().split(";")[-1] if keyed else "")
+                self.ledger.record(customer, units, got.avps[263].decode().split(";")[-1] if keyed else "")
                 result = self.script.pop(0) if self.script else 2001
                 if result is None:
                     continue
@@ -360,7 +360,7 @@
                 flags = 0x60 if 3000 <= result < 4000 else 0x40
             else:
                 if got.command == 282:
-                    self.parted.set()
+                    self.disconnect_requested.set()
                 body, flags = avp(268, 2001) + base + (avp(258, 4) if got.command == 257 else b""), 0
             app = 4 if got.command == 272 else 0
             writer.write(message(flags, got.command, app, got.hop, got.end, body))
@@ -374,10 +374,10 @@
 )
 
 
-def settings(me: int = 0, **changes: Any) -> api.Settings:
+def settings(index: int = 0, **changes: Any) -> api.Settings:
     """Settings under which a decision depends on nothing that a busy machine could change."""
     given: dict[str, Any] = {
-        "gateway_index": me,
+        "gateway_index": index,
         "gateway_count": 2,
         "zone": "a",
         "tick_ms": 4.0,
@@ -402,13 +402,13 @@
     counter: int | None,
     known: EndpointSnapshot | None = None,
     diameter: bool = False,
-    me: int = 0,
+    index: int = 0,
     **changes: Any,
 ) -> Config:
     plans = {1: "dealer", 2: "small", 3: "free"}
     second = DiameterConfig(
         (HOST, 0),
-        f"gw{me}.yoke.example",
+        f"gw{index}.yoke.example",
         "yoke.example",
         plans,
         frozenset({"diameter"}),
@@ -426,7 +426,7 @@
         sockets=1024,
         memory_mb=192.0,
         known=known,
-        settings=settings(me, has_counter=counter is not None, **changes),
+        settings=settings(index, has_counter=counter is not None, **changes),
         report_names=("latency_ms", "inflight"),
         connect_ms=5000.0,
         idle_ms=30_000.0,
@@ -435,7 +435,7 @@
     )
 
 
-def roster(*servers: dict[str, Any]) -> EndpointSnapshot:
+def endpoint_snapshot(*servers: dict[str, Any]) -> EndpointSnapshot:
     return read_endpoint_snapshot({"version": 1, "full": True, "servers": list(servers)})
 
 
@@ -462,7 +462,7 @@
     """A gateway before one server of the kind."""
     made = DiameterServer(script=script) if kind == "diameter" else Backend(script=script)
     async with made as node, Discovery(entry("a", node.port, kind=kind)) as list_:
-        known = roster(entry("a", node.port, kind=kind))
+        known = endpoint_snapshot(entry("a", node.port, kind=kind))
         async with gateway(config(list_.port, counter, known, diameter)) as app:
             yield app, node, list_
 
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -41,6 +41,6 @@
         runner.run(asyncio.wait_for(test(), TEST_TIMEOUT_S))
 
 
-def most_in_a_window(times: list[float], window: float) -> int:
+def max_in_window(times: list[float], window: float) -> int:
     """The most of these moments that lie in any window of that length."""
     return max((sum(at <= other < at + window for other in times) for at in times), default=0)
