--- a/tests/cluster/test_golden_cluster.py
+++ b/tests/cluster/test_golden_cluster.py
@@ -64,7 +64,7 @@
     HISTORIES,
     INCARNATION,
     MEMBER,
-    SNAPSHOT_AT,
+    SNAPSHOT_ENTRY_COUNT,
     TENANT_GROUP,
     apply_entries,
     history_entries,
@@ -237,9 +237,9 @@
 def history_of(group: str) -> dict[str, Any]:
     """The results of a group's history: answers, snapshots, values, and what its leader then proposes."""
     state, entries = new_state(group), history_entries(group)
-    answers = apply_entries(state, entries[:SNAPSHOT_AT])
+    answers = apply_entries(state, entries[:SNAPSHOT_ENTRY_COUNT])
     early = state.dump()
-    answers += apply_entries(state, entries[SNAPSHOT_AT:])
+    answers += apply_entries(state, entries[SNAPSHOT_ENTRY_COUNT:])
     late = state.dump()
     values = {name: canonical(part.dump()) for name, part in state.parts.items()}
     return {
@@ -269,9 +269,9 @@
     answers = [
         state.apply(NODE_TIME_MS, index, bytes.fromhex(body))
         for index, body in enumerate(expected["entries"], 1)
-        if index > SNAPSHOT_AT
+        if index > SNAPSHOT_ENTRY_COUNT
     ]
-    assert [canonical(answer) for answer in answers] == expected["answers"][SNAPSHOT_AT - 1 :]
+    assert [canonical(answer) for answer in answers] == expected["answers"][SNAPSHOT_ENTRY_COUNT - 1 :]
     assert state.dump().hex() == expected["late"]
     assert {name: canonical(part.dump()) for name, part in state.parts.items()} == expected["values"]
 
@@ -361,7 +361,7 @@
         assert state.dump().hex() == golden("cluster/histories.json")[group]["late"]
         assert (
             storage.persisted_groups[group].snapshot is not None
-            and storage.persisted_groups[group].entries[0].index == SNAPSHOT_AT + 1
+            and storage.persisted_groups[group].entries[0].index == SNAPSHOT_ENTRY_COUNT + 1
         )
 
 
--- a/tests/cluster/test_rolling_restart.py
+++ b/tests/cluster/test_rolling_restart.py
@@ -35,7 +35,7 @@
 from tests.support.cluster_runs import first_broken_rule, leader_view, run_state_machine
 from tests.support.rolling_restart_simulation import (
     CATCH_UP_MS,
-    EMPTY_MS,
+    DRAIN_MS,
     GROUPS,
     NAMES,
     NEVER_MS,
@@ -339,7 +339,7 @@
     restart = simulation.run_to_the_end()
     assert restart is not None
     voters = {group: tuple(member_name(voter) for voter in ids) for group, ids in GROUPS.items()}
-    wave_ms = EMPTY_MS + RESTART_MS + CATCH_UP_MS + warm_up_ms
+    wave_ms = DRAIN_MS + RESTART_MS + CATCH_UP_MS + warm_up_ms
     minimum_ms = minimum_duration_ms(NAMES, voters, ZONES, 3, 0.6, wave_ms)
     assert minimum_ms == 5 * 4000.0
     assert minimum_ms <= restart.since_ms <= 1.3 * minimum_ms
--- a/tests/decisions/test_behaviour_digests.py
+++ b/tests/decisions/test_behaviour_digests.py
@@ -400,7 +400,7 @@
 
     def __init__(self, scenario: Scenario, digest: Digest) -> None:
         super().__init__(scenario.plans, scenario.trouble)
-        self.digest, self.action_counts = digest, dict[str, int]()
+        self.digest, self.kind_numbers = digest, dict[str, int]()
 
     def request_sent(
         self, now: float, rid: str, customer: int, plan: str, units: float, gateway: int
@@ -418,7 +418,7 @@
 
     def response_received(self, now: float, rid: str, kind: str) -> None:
         """Add a final response."""
-        self.digest.add((2, now, rid, self.action_counts.setdefault(kind, len(self.action_counts))))
+        self.digest.add((2, now, rid, self.kind_numbers.setdefault(kind, len(self.kind_numbers))))
         super().response_received(now, rid, kind)
 
 
@@ -582,13 +582,13 @@
 
 
 def test_the_streams_cover_every_kind_of_action() -> None:
-    action_counts: set[str] = set()
+    action_kinds: set[str] = set()
     for stream in STREAMS:
         if stream.name in ("build", "handover", "watched"):
             driver = Driver(stream)
             driver.run()
-            action_counts |= driver.action_counts.keys()
-    assert action_counts >= {
+            action_kinds |= driver.action_counts.keys()
+    assert action_kinds >= {
         "send",
         "cancel",
         "refuse",
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -98,15 +98,15 @@
             self.run(1.0, 1e-9)
 
     def _schedule_request(self, at: float, n: int, cls: int, retries: int) -> None:
-        self._last_number += 1
+        self._scheduled_count += 1
         self._schedule(
             at,
             n,
             api.Request(
-                f"{cls}-{retries}-{self._last_number}",
+                f"{cls}-{retries}-{self._scheduled_count}",
                 str(cls),
                 "plain",
-                self._last_number,
+                self._scheduled_count,
                 4 * self.site.classes[cls][2],
                 1.0,
                 1,
--- a/tests/support/canonical.py
+++ b/tests/support/canonical.py
@@ -1,8 +1,8 @@
-"""A form of any value in which neither type names nor field names count, for digests of behaviour.
+"""Canonical text of any value, without the names of types and fields, for digests of behaviour.
 
-A digest over a run's effects is recorded once and must come out equal after every change that only renames,
-moves or types: a dataclass, a msgspec Struct, a NamedTuple and a plain tuple of the same values in the same
-order are one and the same here, and so are an IntEnum and its number.
+A digest over a run's effects is recorded once and must stay equal after every change that only renames, moves
+or adds types: a dataclass, a msgspec Struct, a NamedTuple and a plain tuple with the same values in the same
+order have the same text, and so have an IntEnum and its number.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def canonical(value: object) -> str:
-    """The value as text: contents in order, without the names of types and fields."""
+    """Return the value as text: its contents in order, without the names of types and fields."""
     if isinstance(value, bool) or value is None:
         return repr(value)
     if isinstance(value, Enum):
@@ -44,17 +44,17 @@
 
 
 class Digest:
-    """A running digest over values in the order in which they are added."""
+    """An incremental digest over values in the order in which they are added."""
 
     def __init__(self) -> None:
         self._hash = hashlib.sha256()
         self.count = 0
 
     def add(self, value: object) -> None:
-        """Take one more value in."""
+        """Add a value to the digest."""
         self._hash.update(canonical(value).encode() + b"\n")
         self.count += 1
 
     def hexdigest(self) -> str:
-        """The digest so far."""
+        """Return the digest of the values added so far."""
         return self._hash.hexdigest()
--- a/tests/support/cluster_digest.py
+++ b/tests/support/cluster_digest.py
@@ -1,8 +1,8 @@
-"""Digests of what the cluster part does: effects in order, without the names that its bytes may hold.
+"""Digests of the cluster's behaviour: its effects in order, without the type names that encoded bytes contain.
 
-An entry's body and a snapshot's body are MessagePack that names commands by their type, so they are read
-before they are taken in.  What depends on nothing but the length or the checksum of such bytes (the offsets
-of a snapshot's pieces, the checksums of answered calls) is left out.
+The bodies of entries and snapshots are MessagePack that names commands by their type, so they are decoded before
+they are added.  Values that depend only on the length or the checksum of such bytes (the offsets of a snapshot's
+chunks, the checksums of completed calls) are left out.
 """
 
 from __future__ import annotations
@@ -50,21 +50,21 @@
 
 
 def assert_digest(name: str, digest: Digest) -> None:
-    """Compare a stream with what was recorded; one that was never recorded fails."""
+    """Compare a digest with the recorded one; a name without a recorded digest fails."""
     golden: dict[str, list[object]] = json.loads(GOLDEN.read_text())
     assert name in golden, f"no digest is recorded for {name}"
     assert [digest.count, digest.hexdigest()] == golden[name], (
-        f"{name}: the behaviour is another than recorded"
+        f"{name}: the behaviour differs from the recorded one"
     )
 
 
 def command_values(command: Command) -> tuple[str, object]:
-    """A command: its values, with the mark of whether it only reads and whether it is taken once."""
+    """Return a command's values, with whether it is read-only and whether its answer is remembered."""
     return f"{command.is_read_only}/{command.remembers_answer}", command
 
 
 def applied_values(result: ApplyResult | ClusterError | None) -> object:
-    """An answer, with the stable code of its error."""
+    """Return a result's values, with the stable code of its error."""
     if isinstance(result, ClusterError):
         return result.code, result
     if result is None:
@@ -74,7 +74,7 @@
 
 @lru_cache(maxsize=65536)
 def body_values(body: bytes) -> object:
-    """An entry's or a call's body."""
+    """Return the values of an entry's or a call's body; a body that is no command stays as bytes."""
     try:
         at_ms, command = decode_command(body)
     except msgspec.DecodeError:
@@ -83,13 +83,13 @@
 
 
 def entry_values(entry: LogEntry) -> object:
-    """An entry of a log; a configuration's bytes hold no name."""
+    """Return the values of a log entry; a configuration's bytes contain no type name and stay as they are."""
     body = body_values(entry.body) if entry.kind == EntryKind.COMMAND else entry.body
     return entry.index, entry.term, entry.kind, body
 
 
 def state_values(body: bytes) -> object:
-    """A group's snapshot: its time, its index, the calls that are remembered, and each part in order."""
+    """Return the values of a group's snapshot: time, index, the ids of remembered calls, and each part in order."""
     try:
         at_ms, index, ids, parts = msgspec.msgpack.decode(body)
     except (msgspec.DecodeError, TypeError, ValueError):
@@ -98,7 +98,7 @@
 
 
 def record_values(record: object, group: str) -> object:
-    """A record of a store."""
+    """Return the values of a stored record."""
     if isinstance(record, Entries):
         return [entry_values(entry) for entry in record.entries]
     if isinstance(record, Snapshot):
@@ -108,7 +108,7 @@
 
 
 def message_values(message: object) -> object:
-    """A message between members."""
+    """Return the values of a message between members."""
     match message:
         case AppendEntries():
             return (
@@ -139,7 +139,7 @@
 
 
 def effect_values(effect: object) -> object:
-    """An effect of a replica or a node."""
+    """Return the values of an effect of a replica or a node."""
     match effect:
         case SendMessage():
             return "send", str(effect.to), message_values(effect.message)
@@ -148,17 +148,17 @@
                 "store",
                 effect.group,
                 effect.sequence,
-                [record_values(one, effect.group) for one in effect.records],
+                [record_values(record, effect.group) for record in effect.records],
             )
         case OperationCompleted():
             result = effect.result
-            known = isinstance(result, ApplyResult | ClusterError)
-            return "done", effect.token, applied_values(result) if known else result
+            is_applied = isinstance(result, ApplyResult | ClusterError)
+            return "done", effect.token, applied_values(result) if is_applied else result
     return "say", effect
 
 
 def event_values(event: object) -> object:
-    """An event of a replica or a node."""
+    """Return the values of an event of a replica or a node."""
     match event:
         case MessageReceived():
             return str(event.sender), message_values(event.message)
@@ -172,24 +172,24 @@
 
 
 def saved_values(saved: PersistedGroup, group: str) -> object:
-    """What a store holds of a group."""
+    """Return the values that a store holds for a group."""
     snapshot = None if saved.snapshot is None else record_values(saved.snapshot, group)
     return saved.current_term, saved.voted_for, snapshot, [entry_values(entry) for entry in saved.entries]
 
 
 def add_effects(digest: Digest, now: float, effects: Iterable[object]) -> None:
-    """Take effects in, each for itself."""
+    """Add each effect to the digest, with its time."""
     for effect in effects:
         digest.add((now, effect_values(effect)))
 
 
 class RecordedNode(ClusterNode):
-    """A node whose events and effects go into a digest."""
+    """A node that adds its events and effects to a digest."""
 
     digest: Digest
 
     def handle(self, now: float, wall: float, event: NodeEvent) -> Sequence[Any]:  # type: ignore[override]
-        """As the node's own."""
+        """Handle the event, and add it and its effects to the digest."""
         self.digest.add((now, wall, str(self.member_id), event_values(event)))
         effects = super().handle(now, wall, event)
         add_effects(self.digest, self.due, effects)
@@ -197,11 +197,11 @@
 
 
 def add_state(digest: Digest, state: GroupStateMachine) -> None:
-    """Take a snapshot of a group's state in."""
+    """Add a snapshot of a group's state to the digest."""
     digest.add(state_values(state.dump()))
 
 
 def broken_values(rules: Invariants) -> list[tuple[Rule, str]]:
-    """The rules that were broken, and the facts; a configuration stands in them by the name that its type had
-    when the digests were recorded."""
-    return [(rule, facts.replace("GroupConfiguration(", "Config(")) for rule, facts in rules.broken]
+    """Return the violated rules and their details.  The details show a configuration under `Config`, the name that its
+    type had when the digests were recorded."""
+    return [(rule, details.replace("GroupConfiguration(", "Config(")) for rule, details in rules.broken]
--- a/tests/support/cluster_history.py
+++ b/tests/support/cluster_history.py
@@ -1,5 +1,5 @@
-"""A fixed history of two groups, one of each kind, with every part in use: for golden snapshots and a
-golden store."""
+"""Fixed histories of two groups, one of each kind, that use every part: for golden snapshots and a golden
+store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from badgeryoke.cluster.events import DiscardGroup, Entries, HardState, PersistRecords, Snapshot
 from badgeryoke.cluster.invariants import Invariants
 from badgeryoke.cluster.messages import EntryKind, LogEntry
-from badgeryoke.cluster.node_setup import BOOTSTRAP_GROUP as FOUNDING_GROUP
+from badgeryoke.cluster.node_setup import BOOTSTRAP_GROUP
 from badgeryoke.cluster.placement import commands as placement_commands
 from badgeryoke.cluster.raft.log import encode_config
 from badgeryoke.cluster.reservations.commands import (
@@ -63,12 +63,12 @@
 )
 
 MEMBER, INCARNATION = "a", "1"
-TENANT_GROUP = "g1"  # a group beside the fleet's own
-SNAPSHOT_AT = 12  # of the entries of each group lie in its snapshot, the others behind it
+TENANT_GROUP = "g1"  # a group that holds tenants' state, unlike the fleet group
+SNAPSHOT_ENTRY_COUNT = 12  # entries of each group that its snapshot covers; the others follow it in the log
 BUCKET = server_bucket(SERVER)
 TENANT, CONTRACT = "north", "payday"
 
-NIGHTLY = msgspec.structs.replace(
+NIGHTLY_TERMS = msgspec.structs.replace(
     TERMS,
     tenant="south",
     rate=250.0,
@@ -77,7 +77,7 @@
     surplus=True,
     windows=(Window(from_ms=START_MS + 90_000, to_ms=START_MS + 900_000),),
 )
-ROLL = StartRollingRestart(
+START_RESTART = StartRollingRestart(
     id="r1", restart="nightly", gateways=("b", "a"), reason="new version", at_once=1, warm_up_ms=500.0
 )
 
@@ -94,7 +94,7 @@
         ),
     ),
     (2.0, ProposeContract(id="c2", contract=CONTRACT, terms=TERMS)),
-    (3.0, ProposeContract(id="c3", contract="nightly", terms=NIGHTLY)),
+    (3.0, ProposeContract(id="c3", contract="nightly", terms=NIGHTLY_TERMS)),
     (4.0, VersionDrained(id="c4", contract=CONTRACT, version=1)),
     (5.0, VersionDrained(id="c5", contract="nightly", version=2)),
     (6.0, ProposeContract(id="c6", contract="huge", terms=msgspec.structs.replace(TERMS, rate=1e6))),
@@ -127,7 +127,7 @@
             effective_from_ms=START_MS + 120_000,
         ),
     ),
-    (62_001.0, ROLL),
+    (62_001.0, START_RESTART),
     (62_002.0, RecordRestartEvent(id="r2", restart="nightly", restart_version=0, event="SEEN")),
     (
         62_003.0,
@@ -164,38 +164,56 @@
         ),
     ),
     (62_300.0, CancelContract(id="c10", contract="nightly")),
-    (62_301.0, CancelContract(id="c10", contract="nightly")),  # repeated: the same answer
-    (62_302.0, CancelContract(id="c10", contract=CONTRACT)),  # another call with a taken id
-    (62_303.0, key_value.PutValue(id="p1", name="payday", value="armed")),  # not for this group
-    (62_304.0, placement_commands.CancelMove(id="e5", group="g0", new="d/4", why="lost")),  # no such move
+    (62_301.0, CancelContract(id="c10", contract="nightly")),  # a repeated call gets the same answer
+    (62_302.0, CancelContract(id="c10", contract=CONTRACT)),  # a different call with an id already used
+    (
+        62_303.0,
+        key_value.PutValue(id="p1", name="payday", value="armed"),
+    ),  # a command of the other kind of group
+    (
+        62_304.0,
+        placement_commands.CancelMove(id="e5", group="g0", new="d/4", why="lost"),
+    ),  # no such move is under way
 )
 
 
-def _lease(number: int, holder: str, order: int, held: int, keep: float, wish: float, soft: bool) -> Command:
+def _request_lease(
+    call_number: int,
+    holder: str,
+    sequence: int,
+    lease_number: int,
+    kept_rate: float,
+    wanted_rate: float,
+    takes_spare: bool,
+) -> Command:
     return RequestLease(
-        id=f"f{number}",
+        id=f"f{call_number}",
         tenant=TENANT,
         contract=CONTRACT,
         holder=holder,
-        lease_number=held,
-        kept_rate=keep,
-        wanted_rate=wish,
+        lease_number=lease_number,
+        kept_rate=kept_rate,
+        wanted_rate=wanted_rate,
         returned_units=0.0,
         wanted_units=2.5,
-        takes_spare=soft,
+        takes_spare=takes_spare,
         min_depth=1.5,
         process=f"{holder}.9",
-        sequence=order,
+        sequence=sequence,
     )
 
 
-def _connections(number: int, holder: str, held: int, keep: int, wish: int, fresh: bool) -> Command:
+def _request_connections(
+    call_number: int, holder: str, lease_number: int, kept: int, wanted: int, first_request: bool
+) -> Command:
     return RequestConnectionLeases(
-        id=f"s{number}",
+        id=f"s{call_number}",
         holder=holder,
         bucket=BUCKET,
-        first_request=fresh,
-        requests=(ConnectionLeaseRequest(server=SERVER, lease_number=held, keep=keep, wanted=wish),),
+        first_request=first_request,
+        requests=(
+            ConnectionLeaseRequest(server=SERVER, lease_number=lease_number, keep=kept, wanted=wanted),
+        ),
     )
 
 
@@ -219,16 +237,16 @@
         3.0,
         SetConnectionLimit(id="s1", server=SERVER, max_connections=24, idle_timeout_ms=30_000.0),
     ),
-    (4.0, _connections(2, "a/1#boot.9", 0, 0, 8, False)),
-    (5.0, _connections(3, "b/2#boot.7", 0, 0, 30, True)),
+    (4.0, _request_connections(2, "a/1#boot.9", 0, 0, 8, False)),
+    (5.0, _request_connections(3, "b/2#boot.7", 0, 0, 30, True)),
     (6.0, unreported_usage.RecordUsage(id="o1", tenant=TENANT, recorded_by="a/1", lines=USAGE_LINES)),
     (7.0, unreported_usage.RecordUsage(id="o2", tenant=TENANT, recorded_by="b/2", lines=USAGE_LINES[:1])),
     (
         60_100.0,
         unreported_usage.ClaimUsage(id="o3", tenant=TENANT, batch="o1", reporter="b/2"),
-    ),  # too late: it is closed
-    (60_200.0, _lease(2, "a/1", 1, 0, 0.0, 60.5, False)),
-    (60_300.0, _lease(3, "b/2", 1, 0, 0.0, 20.0, True)),
+    ),  # too late: the batch is closed
+    (60_200.0, _request_lease(2, "a/1", 1, 0, 0.0, 60.5, False)),
+    (60_300.0, _request_lease(3, "b/2", 1, 0, 0.0, 20.0, True)),
     (
         60_400.0,
         ReportUsage(
@@ -239,7 +257,7 @@
             slices=(UsageSlice(340_000_012_060, 3.0, 2.0), UsageSlice(340_000_012_061, 1.0, 0.5)),
         ),
     ),
-    (60_500.0, _lease(5, "a/1", 2, 1, 20.0, 40.0, False)),
+    (60_500.0, _request_lease(5, "a/1", 2, 1, 20.0, 40.0, False)),
     (
         60_501.0,
         OpenContract(
@@ -253,7 +271,10 @@
             effective_from_ms=START_MS + 120_000,
         ),
     ),
-    (60_502.0, _lease(7, "a/1", 1, 1, 20.0, 40.0, False)),  # comes behind a later one
+    (
+        60_502.0,
+        _request_lease(7, "a/1", 1, 1, 20.0, 40.0, False),
+    ),  # arrives after a request with a higher sequence number
     (60_503.0, ReleaseLease(id="f8", tenant=TENANT, contract=CONTRACT, holder="b/2", lease_number=2)),
     (60_504.0, unreported_usage.RecordUsage(id="o4", tenant=TENANT, recorded_by="c/3", lines=USAGE_LINES)),
     (60_505.0, unreported_usage.ClaimUsage(id="o5", tenant=TENANT, batch="o4", reporter="a/1")),
@@ -291,7 +312,7 @@
 
 
 def new_state(group: str) -> GroupStateMachine:
-    """A group as it is before its first entry."""
+    """Return a group's state before its first entry."""
     state = GroupStateMachine(group, Timings(), Invariants(strict=True))
     if group == FLEET:
         state.parts["placing"].initialize(BOOTSTRAP_RECORD)
@@ -299,10 +320,10 @@
 
 
 def history_entries(group: str) -> tuple[LogEntry, ...]:
-    """The log: what a new leader begins with, then the commands."""
-    made = [LogEntry(index=1, term=2, kind=EntryKind.NOTHING, body=b"")]
+    """Return a group's log: the empty entry of a new leader, then the commands."""
+    entries = [LogEntry(index=1, term=2, kind=EntryKind.NOTHING, body=b"")]
     for index, (after_ms, command) in enumerate(HISTORIES[group], 2):
-        made.append(
+        entries.append(
             LogEntry(
                 index=index,
                 term=2 + index // 8,
@@ -310,62 +331,64 @@
                 body=encode_command(START_MS + after_ms, command),
             )
         )
-    return tuple(made)
+    return tuple(entries)
 
 
 def apply_entries(state: GroupStateMachine, entries: tuple[LogEntry, ...]) -> list[ApplyResult]:
-    """Bring a log's commands to a state."""
+    """Apply a log's commands to a state and return the results."""
     return [
         state.apply(1000.0, entry.index, entry.body) for entry in entries if entry.kind == EntryKind.COMMAND
     ]
 
 
 def first_snapshot(group: str) -> Snapshot:
-    """What a founder stores before a group's first entry."""
+    """Return the snapshot that a bootstrapping member stores before a group's first entry."""
     return Snapshot(last_included_index=0, last_included_term=0, config=CONFIG, body=new_state(group).dump())
 
 
 def write_store(folder: Path) -> ClusterStorage:
-    """A store with groups of every kind, part of it still in SQLite's write-ahead log.  It stays open."""
-    disk = open_storage(folder, CLUSTER, MEMBER, new_incarnation=lambda: INCARNATION)
-    assert isinstance(disk, ClusterStorage), disk
-    founding = Snapshot(
+    """Write a store with groups of every kind, partly still in SQLite's write-ahead log, and leave it open."""
+    storage = open_storage(folder, CLUSTER, MEMBER, new_incarnation=lambda: INCARNATION)
+    assert isinstance(storage, ClusterStorage), storage
+    bootstrap_snapshot = Snapshot(
         last_included_index=1,
         last_included_term=1,
         config=CONFIG,
         body=msgspec.msgpack.encode(BOOTSTRAP_RECORD),
     )
-    disk.write([PersistRecords(FOUNDING_GROUP, 1, (founding,))])
+    storage.write([PersistRecords(BOOTSTRAP_GROUP, 1, (bootstrap_snapshot,))])
     for group in HISTORIES:
         entries = history_entries(group)
         state = new_state(group)
-        disk.write([PersistRecords(group, 1, (first_snapshot(group),))])
-        apply_entries(state, entries[:SNAPSHOT_AT])
-        last = entries[SNAPSHOT_AT - 1]
-        disk.write(
+        storage.write([PersistRecords(group, 1, (first_snapshot(group),))])
+        apply_entries(state, entries[:SNAPSHOT_ENTRY_COUNT])
+        last = entries[SNAPSHOT_ENTRY_COUNT - 1]
+        storage.write(
             [
                 PersistRecords(
-                    group, 2, (HardState(current_term=2, voted_for="a/1"), Entries(entries[:SNAPSHOT_AT]))
+                    group,
+                    2,
+                    (HardState(current_term=2, voted_for="a/1"), Entries(entries[:SNAPSHOT_ENTRY_COUNT])),
                 )
             ]
         )
-        disk.write([PersistRecords(group, 3, (Snapshot(last.index, last.term, CONFIG, state.dump()),))])
-    disk._database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+        storage.write([PersistRecords(group, 3, (Snapshot(last.index, last.term, CONFIG, state.dump()),))])
+    storage._database.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     for group in HISTORIES:
-        disk.write(
+        storage.write(
             [
                 PersistRecords(
                     group,
                     4,
                     (
                         HardState(current_term=7, voted_for="c/3"),
-                        Entries(history_entries(group)[SNAPSHOT_AT:]),
+                        Entries(history_entries(group)[SNAPSHOT_ENTRY_COUNT:]),
                     ),
                 )
             ]
         )
-    change = LogEntry(index=4, term=4, kind=EntryKind.CONFIG, body=encode_config(CONFIG))
-    start = (first_snapshot("g0"), Entries((*history_entries(TENANT_GROUP)[:3], change)))
-    disk.write([PersistRecords("g0", 1, (HardState(current_term=4, voted_for="b/2"), *start))])
-    disk.write([PersistRecords("g2", 1, start), PersistRecords("g2", 2, (DiscardGroup(),))])
-    return disk
+    config_entry = LogEntry(index=4, term=4, kind=EntryKind.CONFIG, body=encode_config(CONFIG))
+    first_records = (first_snapshot("g0"), Entries((*history_entries(TENANT_GROUP)[:3], config_entry)))
+    storage.write([PersistRecords("g0", 1, (HardState(current_term=4, voted_for="b/2"), *first_records))])
+    storage.write([PersistRecords("g2", 1, first_records), PersistRecords("g2", 2, (DiscardGroup(),))])
+    return storage
--- a/tests/support/cluster_runs.py
+++ b/tests/support/cluster_runs.py
@@ -1,4 +1,4 @@
-"""What simulations of replicated parts share: leaders' views, drawn runs, and Hypothesis state machines."""
+"""Helpers shared by simulations of replicated parts: leaders' views, seeded runs, and Hypothesis state machines."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from badgeryoke.cluster.state_machine_part import LeaderView
 from badgeryoke.cluster.timings import Timings
 
-STEP_MS = 100.0  # by which simulations advance
+STEP_MS = 100.0  # simulated time of one step
 CLOCK_DRIFT = 0.05
 TIMINGS = Timings(clock_drift=CLOCK_DRIFT)
 
 
-def leader_view(now: float, leader_since_ms: float, **seen: Any) -> LeaderView:
-    """What a leader sees that has led since then: an empty cluster, but for what is given."""
-    fields: dict[str, Any] = {
+def leader_view(now: float, leader_since_ms: float, **fields: Any) -> LeaderView:
+    """Return the view of a leader since `leader_since_ms`; fields that are not given are those of an empty cluster."""
+    all_fields: dict[str, Any] = {
         "member_id": "g0/1",
         "alive_ids": frozenset(),
         "dead_for_ms": {},
@@ -27,13 +27,13 @@
         "load": {},
         "voters_by_group": {},
         "lagging_replicas": {},
-        **seen,
+        **fields,
     }
-    return LeaderView(now=now, wall=now, leader_since_ms=leader_since_ms, timings=TIMINGS, **fields)
+    return LeaderView(now=now, wall=now, leader_since_ms=leader_since_ms, timings=TIMINGS, **all_fields)
 
 
 def run_state_machine(machine: type[RuleBasedStateMachine], examples: int, steps: int) -> None:
-    """Run a Hypothesis state machine, by the same examples each time."""
+    """Run a Hypothesis state machine with the same examples each time."""
     run_state_machine_as_test(
         machine,
         settings=settings(
@@ -48,10 +48,10 @@
 
 
 def first_broken_rule(run: Callable[[int], object], seeds: int) -> Rule | None:
-    """The first rule that breaks in a run with one of so many seeds."""
+    """Return the rule that the first failing run violates, over the seeds 0 to `seeds` - 1; None if none fails."""
     for seed in range(seeds):
         try:
             run(seed)
-        except InvariantViolation as broken:
-            return broken.rule
+        except InvariantViolation as violation:
+            return violation.rule
     return None
--- a/tests/support/cluster_samples.py
+++ b/tests/support/cluster_samples.py
@@ -1,5 +1,5 @@
-"""Sample values of everything that the cluster sends and stores, for the golden files: no field at its
-default."""
+"""Sample values of everything that the cluster sends and stores, for the golden files.  No field has its
+default value."""
 
 from __future__ import annotations
 
@@ -57,14 +57,14 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 from badgeryoke.gateway.cluster.transport import decode_envelope, encode_frame
 
-START_MS = 1_700_000_000_000.0  # Unix ms, of all that is said to happen
+START_MS = 1_700_000_000_000.0  # Unix ms; start of all times in the samples
 CLUSTER, SENDER, RECEIVER = "harbour", "a/1", "b/2"
 SERVER = "s-17.example:8080"
 
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """One value, under the name by which the golden file knows its bytes."""
+    """One value, and the name of its bytes in the golden file."""
 
     name: str
     value: Any
@@ -389,58 +389,65 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def _plain(name: str, value: Any) -> Case:
-    """A Struct in MessagePack."""
+def _struct_case(name: str, value: Any) -> Case:
+    """A case that encodes a Struct as MessagePack."""
     return Case(name, value, _encode, msgspec.msgpack.Decoder(type(value)).decode)
 
 
-def _message(name: str, message: messages.AnyMessage) -> Case:
-    """One message alone, as the links queue it."""
+def _message_case(name: str, message: messages.AnyMessage) -> Case:
+    """A case for a single message, encoded as the transport queues it."""
     return Case(f"message/{name}", message, _encode, msgspec.msgpack.Decoder(messages.AnyMessage).decode)
 
 
-def _framed(envelope: messages.Envelope) -> bytes:
+def _encode_envelope(envelope: messages.Envelope) -> bytes:
     return encode_frame(envelope)
 
 
-def _unframed(raw: bytes) -> Any:
+def _decode_envelope(raw: bytes) -> Any:
     assert int.from_bytes(raw[:4], "big") == len(raw) - 4
     return decode_envelope(raw[4:], CLUSTER, SENDER)
 
 
-def _envelope(name: str, to: str, *sent: messages.AnyMessage) -> Case:
+def _envelope_case(name: str, to: str, *content: messages.AnyMessage) -> Case:
     envelope = messages.Envelope(
-        version=messages.PROTOCOL_VERSION, cluster=CLUSTER, sender=SENDER, to=to, messages=sent
+        version=messages.PROTOCOL_VERSION, cluster=CLUSTER, sender=SENDER, to=to, messages=content
     )
-    return Case(f"frame/{name}", envelope, _framed, _unframed)
+    return Case(f"frame/{name}", envelope, _encode_envelope, _decode_envelope)
 
 
-def _entry(name: str, command: Command) -> Case:
-    """A command as a log's entry holds it."""
-    return Case(f"command/{name}", (START_MS, command), lambda given: encode_command(*given), decode_command)
+def _command_case(name: str, command: Command) -> Case:
+    """A case for a command, encoded as in the body of a log entry."""
+    return Case(
+        f"command/{name}",
+        (START_MS, command),
+        lambda timed_command: encode_command(*timed_command),
+        decode_command,
+    )
 
 
 CASES: tuple[Case, ...] = (
-    *(_message(name, message) for name, message in MESSAGES),
-    _envelope("hello", RECEIVER),
-    _envelope("hello-to-a-name", "b"),
-    _envelope("of-each", RECEIVER, *(message for _, message in MESSAGES)),
-    *(_entry(name, command) for name, command in COMMANDS),
+    *(_message_case(name, message) for name, message in MESSAGES),
+    _envelope_case("hello", RECEIVER),
+    _envelope_case("hello-to-a-name", "b"),
+    _envelope_case("of-each", RECEIVER, *(message for _, message in MESSAGES)),
+    *(_command_case(name, command) for name, command in COMMANDS),
     *(
         Case(f"error/{error.code}", error, _encode, msgspec.msgpack.Decoder(errors.AnyError).decode)
         for error in ERRORS
     ),
-    *(_plain(f"refused/{error.code}", ApplyResult(error=error)) for error in ERRORS),
-    _plain("applied", ApplyResult(value={"parts": [[SERVER, 3, 8, 8, 0]], "old": []}, error=None)),
+    *(_struct_case(f"refused/{error.code}", ApplyResult(error=error)) for error in ERRORS),
+    _struct_case("applied", ApplyResult(value={"parts": [[SERVER, 3, 8, 8, 0]], "old": []}, error=None)),
     Case("configuration", CONFIG, encode_config, msgspec.msgpack.Decoder(messages.GroupConfiguration).decode),
-    *(_plain(f"log-entry/{entry.index}", entry) for entry in ENTRIES),
-    _plain("rumour", GOSSIP_UPDATES[0]),
-    _plain("bootstrap-record", BOOTSTRAP_RECORD),
-    _plain("terms", TERMS),
-    _plain("roll-facts", CONDITIONS),
-    _plain("owed-line", USAGE_LINES[0]),
-    _plain("copy-on-its-way", placement_state.ReplicaMove(lost="b/2", new="d/4", started_at_ms=START_MS)),
-    _plain(
+    *(_struct_case(f"log-entry/{entry.index}", entry) for entry in ENTRIES),
+    _struct_case("rumour", GOSSIP_UPDATES[0]),
+    _struct_case("bootstrap-record", BOOTSTRAP_RECORD),
+    _struct_case("terms", TERMS),
+    _struct_case("roll-facts", CONDITIONS),
+    _struct_case("owed-line", USAGE_LINES[0]),
+    _struct_case(
+        "copy-on-its-way", placement_state.ReplicaMove(lost="b/2", new="d/4", started_at_ms=START_MS)
+    ),
+    _struct_case(
         "placed-group",
         placement_state.GroupPlacement(
             voters=("a/1", "b/2"), config_index=5, lagging=("b/2",), report_count=3
--- a/tests/support/cluster_service.py
+++ b/tests/support/cluster_service.py
@@ -1,4 +1,4 @@
-"""A cluster member whose node is scripted, for tests of what stands around the node."""
+"""A cluster member with a scripted node, for tests of the service around the node."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ScriptedNode:
-    """In the node's place: records events, and returns the effects that a test lays out."""
+    """Replaces the node: records events, and returns the effects that a test sets in `effects_of`."""
 
     def __init__(
         self,
@@ -48,22 +48,25 @@
         return self.effects_of(event)
 
     def status(self) -> dict[str, Any]:
-        """Of one group."""
+        """Return a fixed status with one group."""
         return {"groups": {"g0": {"state": "leader", "term": 3}}}
 
     def events_of_type(self, kind: type[_Event]) -> list[_Event]:
-        """Those recorded so far, in order."""
+        """Return the events of one type recorded so far, in order."""
         return [event for event in self.events if isinstance(event, kind)]
 
 
 def free_port() -> int:
-    """A port of loopback that nobody listens on."""
+    """Return a loopback port that no process listens on."""
     with socket.create_server((HOST, 0)) as listening:
         return int(listening.getsockname()[1])
 
 
 def cluster_settings(directory: Path, **changes: Any) -> ClusterSettings:
-    """Of member `a` among three; nobody listens at the others' addresses.  `changes` are keys of the section."""
+    """Return the settings of a cluster of three in which no process listens at the addresses of `b` and `c`.
+
+    `changes` are keys of the section.
+    """
     members = [
         {"name": name, "hall": "h", "address": f"{HOST}:{port}"}
         for name, port in (("a", free_port()), ("b", 1), ("c", 2))
@@ -83,7 +86,7 @@
 async def running_service(
     directory: Path, **changes: Any
 ) -> AsyncIterator[tuple[ClusterService, ScriptedNode]]:
-    """A member with a scripted node, once that is made."""
+    """Run a member with a scripted node; yields both once the node is created."""
     service = ClusterService(cluster_settings(directory, **changes), "a", node_factory=ScriptedNode)
     service.start()
     await until(lambda: service.node is not None or service.failure is not None)
@@ -96,6 +99,6 @@
 
 
 def feed(service: ClusterService, *events: NodeEvent) -> None:
-    """Hand events to the node of a member that runs."""
+    """Pass events to the node of a running member."""
     assert service.running is not None
     service.running.feed(*events)
--- a/tests/support/connection_leases.py
+++ b/tests/support/connection_leases.py
@@ -30,14 +30,14 @@
     Backend,
 )
 
-TIMINGS = Timings(lease_ms=120.0, heartbeat_ms=10.0, election_ms=50.0)  # 600 ms for connections
+TIMINGS = Timings(lease_ms=120.0, heartbeat_ms=10.0, election_ms=50.0)  # connection leases last 600 ms
 IDLE_MS, CONNECTION_LIMIT = 200.0, 4
-LONG_CONNECT_TIMEOUT_MS = 20_000.0  # where a connection has to come
-SHORT_CONNECT_TIMEOUT_MS = 100.0  # where none may come
+LONG_CONNECT_TIMEOUT_MS = 20_000.0  # for tests that expect a connection
+SHORT_CONNECT_TIMEOUT_MS = 100.0  # for tests that expect no connection
 
 
 class LeasedGateway:
-    """One gateway's leases for one server; in the gateway's place for a rolling restart."""
+    """One gateway's leases for one server; also stands in for the gateway in a rolling restart."""
 
     def __init__(self, name: str, port: int, group: LimitGroup, diameter: bool = False) -> None:
         self.name, self.group = name, group
@@ -80,29 +80,29 @@
         group.gateways.append(self)
 
     def pause(self) -> str:
-        """Note the call."""
+        """Record the call."""
         self.actions.append("pause")
         return ""
 
     def resume(self) -> str:
-        """Note the call."""
+        """Record the call."""
         self.actions.append("resume")
         return ""
 
     def end(self) -> None:
-        """Note the call."""
+        """Record the call."""
         self.actions.append("end")
 
     @property
     def open_connections(self) -> int:
-        """Connections that count on the lease."""
+        """The number of open connections that count against the lease."""
         holder = self.leases.lease_holder
         return holder.servers["s"].open if holder is not None and "s" in holder.servers else 0
 
     def start_attempt(self, deadline_ms: float = 2 * LONG_CONNECT_TIMEOUT_MS) -> Attempt:
-        """Start an attempt, which waits for a connection where none is free."""
+        """Start an attempt; it waits for a connection if none is free."""
         now = boot_time_ms()
-        made = Attempt(
+        attempt = Attempt(
             Request(
                 f"{len(self.attempt_ends):016x}",
                 "c",
@@ -119,21 +119,24 @@
             now + deadline_ms,
             self._attempt_ended,
         )
-        self.upstream.start(made)
-        return made
+        self.upstream.start(attempt)
+        return attempt
 
     def use_short_connect_timeout(self) -> None:
-        """From here on attempts without a connection fail soon."""
+        """Make attempts that get no connection fail after the short timeout from now on."""
         self.upstream._connect_ms = SHORT_CONNECT_TIMEOUT_MS
 
     def _attempt_ended(self, execution: Attempt, end: AttemptEnd) -> None:
         self.attempt_ends.append(end)
-        if self.concurrent_attempts > 0:  # as many are always under way
+        if self.concurrent_attempts > 0:  # keep the same number of attempts in flight
             self.scheduler.call_later(0.002, self.start_attempt)
 
 
 class LimitGroup:
-    """Grants, in the place of the group that holds the server's limit; who is in `unreachable` gets no answer."""
+    """Grants leases in place of the group that holds the server's limit.
+
+    Calls of the gateways in `unreachable` fail with NoLeader.
+    """
 
     def __init__(self) -> None:
         self.gateways: list[LeasedGateway] = []
@@ -145,7 +148,7 @@
         )
 
     async def run(self) -> None:
-        """Answer all gateways' commands, over and over."""
+        """Answer all gateways' commands every 5 ms until cancelled."""
         while True:
             now = boot_time_ms()
             for leased_gateway in self.gateways:
@@ -166,17 +169,17 @@
 
 
 class CountingServer(Backend):
-    """Answers after a while, and counts what is open, by gateway."""
+    """Answers each request after 4 ms, and counts the open connections by gateway."""
 
     def __init__(self, ignores_close: bool = False) -> None:
         super().__init__()
         self.max_open = 0
         self.gateway_of_connection: dict[asyncio.StreamReader, str] = {}
-        self.ignores_close = ignores_close  # it does not heed the other side's end
+        self.ignores_close = ignores_close  # keeps its side open after the client has closed
         self.release = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Answer each request on a connection, up to its end."""
+        """Answer each request on a connection until it is closed."""
         self.gateway_of_connection[reader] = ""
         self.max_open = max(self.max_open, len(self.gateway_of_connection))
         try:
@@ -191,29 +194,29 @@
             del self.gateway_of_connection[reader]
 
     def open_from(self, name: str) -> int:
-        """Connections that a gateway has open here."""
-        return sum(one == name for one in self.gateway_of_connection.values())
+        """Return the number of connections that a gateway has open to this server."""
+        return sum(gateway == name for gateway in self.gateway_of_connection.values())
 
 
 @contextlib.asynccontextmanager
 async def leased_gateways(server: Any, *names: str, diameter: bool = False) -> AsyncIterator[Any]:
-    """The group that grants leases, then gateways of those names in front of a server."""
+    """Yield the group that grants leases, then one gateway for each name, in front of a server."""
     group = LimitGroup()
-    made = [LeasedGateway(name, server.port, group, diameter) for name in names]
-    for leased_gateway in made:
+    gateways = [LeasedGateway(name, server.port, group, diameter) for name in names]
+    for leased_gateway in gateways:
         leased_gateway.leases.attach(leased_gateway.node, leased_gateway.invariants)
     task = asyncio.ensure_future(group.run())
     try:
-        yield group, *made
+        yield group, *gateways
     finally:
         task.cancel()
-        for leased_gateway in made:
+        for leased_gateway in gateways:
             leased_gateway.concurrent_attempts = 0
             leased_gateway.leases.close()
 
 
 def keep_busy(leased_gateway: LeasedGateway, count: int) -> None:
-    """Have so many attempts under way at all times."""
+    """Keep `count` attempts in flight at all times."""
     leased_gateway.concurrent_attempts = count
     for _ in range(count):
         leased_gateway.start_attempt()
--- a/tests/support/connection_simulation.py
+++ b/tests/support/connection_simulation.py
@@ -1,7 +1,7 @@
-"""Gateways that hold connection leases, their servers and a leader, with faults drawn at random.
+"""Gateways that hold connection leases, their servers and a leader, with random faults.
 
-The true connections are known at the servers, so that `check_open_connections` can compare them with what was
-granted, whatever gateways and leaders believe.
+The servers record the connections that are really open, so that `check_open_connections` compares these with the
+granted ones, independently of the state of gateways and leaders.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from badgeryoke.cluster.state_machine_part import ApplyResult, Command
 from tests.support.cluster_runs import CLOCK_DRIFT, STEP_MS, TIMINGS, leader_view
 
-# longer than a lease lives after its last renewal, or no lost machine would matter
+# longer than a lease lasts after its last renewal; otherwise a lost machine would have no effect
 IDLE_TIMEOUT_MS = 12_000.0
-PROCESS_END_NOTICE_MS = 900.0  # until a server knows that a process is dead
+PROCESS_END_NOTICE_MS = 900.0  # longest time until a server notices that a process has ended
 LIMITS = {"load-1": 4, "load-2": 6}
 NEVER = float("inf")
 
@@ -44,16 +44,16 @@
     frozen: bool = False
     cut_off: bool = False
     need: dict[str, int] = field(default_factory=dict)
-    sockets: dict[str, list[ServerSocket]] = field(default_factory=dict)  # until it has seen their end
+    sockets: dict[str, list[ServerSocket]] = field(default_factory=dict)  # kept until it has seen them close
 
     def now(self, true_ms: float) -> float:
-        """The process's own time."""
+        """Return the time on the process's clock."""
         return true_ms * self.clock_rate
 
 
 @dataclass(eq=False)
 class CallInFlight:
-    """A command on its way to the leader; the leader's own has no sender."""
+    """A command on its way to the leader; a command of the leader itself has no sender."""
 
     arrives_ms: float
     sender: GatewayProcess | None
@@ -62,7 +62,7 @@
 
 @dataclass(eq=False)
 class ReplyInFlight:
-    """An outcome on its way to a gateway."""
+    """A result on its way to a gateway."""
 
     arrives_ms: float
     receiver: GatewayProcess
@@ -87,7 +87,7 @@
         self.gateways = [self.start_process(f"g{n}", "boot") for n in range(3)]
 
     def set_limit(self, server: str, max_connections: int) -> None:
-        """The operators set a limit."""
+        """Set a server's limit, as operators do."""
         self.limits[server] = max_connections
         command = SetConnectionLimit(
             id="x", server=server, max_connections=max_connections, idle_timeout_ms=IDLE_TIMEOUT_MS
@@ -95,17 +95,20 @@
         self.replicated.apply(0, command)
 
     def start_process(self, name: str, boot_id: str) -> GatewayProcess:
-        """A gateway's next process."""
+        """Start and return a gateway's next process."""
         self.starts += 1
         clock_rate = self.random.choice((1.0 - CLOCK_DRIFT, 1.0, 1.0 + CLOCK_DRIFT))
-        me = holder_id(f"{name}/1", boot_id, str(self.starts))
+        own_id = holder_id(f"{name}/1", boot_id, str(self.starts))
         holder = ConnectionLeaseHolder(
-            me, TIMINGS, self.invariants, self.true_ms * clock_rate, only_process=True
+            own_id, TIMINGS, self.invariants, self.true_ms * clock_rate, only_process=True
         )
         return GatewayProcess(holder, clock_rate)
 
     def kill(self, n: int, with_machine: bool) -> None:
-        """The process dies, and the next one starts; with the machine its kernel tells no server."""
+        """End the process and start the next one.
+
+        When the whole machine is lost, no kernel closes the connections, so servers keep them.
+        """
         gateway = self.gateways[n]
         gateway.up = False
         for sockets in self.sockets.values():
@@ -117,7 +120,7 @@
         self.gateways[n] = self.start_process(f"g{n}", f"boot{self.starts}" if with_machine else same_boot)
 
     def change_leader(self) -> None:
-        """Another member leads, by its own clock, with what is replicated."""
+        """Let another member lead, with its own clock and the replicated state."""
         raw = self.replicated.dump()
         self.replicated = ConnectionLimits(self.invariants, TIMINGS)
         self.replicated.load(raw)
@@ -126,7 +129,7 @@
         self.lead_since_ms = self.true_ms * self.leader_clock_rate
 
     def step(self) -> None:
-        """Advance all by one step of time."""
+        """Advance the simulation by one step."""
         self.true_ms += STEP_MS
         if self.random.random() < 0.7:
             view = leader_view(self.true_ms * self.leader_clock_rate, self.lead_since_ms)
@@ -140,7 +143,7 @@
         self.check_open_connections()
 
     def deliver_calls(self) -> None:
-        """Apply the calls that have arrived, each id once; an answer may be lost."""
+        """Apply the calls that have arrived, each id only once; a reply may be lost."""
         for call in [call for call in self.calls if call.arrives_ms <= self.true_ms]:
             self.calls.remove(call)
             command, sender = call.command, call.sender
@@ -153,7 +156,7 @@
                 self.lose(sender, command)
 
     def close_idle_sockets(self) -> None:
-        """Servers forget what was closed or was idle for too long, by the slowest clock."""
+        """Remove closed and idle connections from the servers; the idle timeout runs on the slowest clock."""
         longest_idle_ms = IDLE_TIMEOUT_MS / (1.0 - CLOCK_DRIFT)
         for server in self.sockets:
             self.sockets[server] = [
@@ -163,7 +166,7 @@
             ]
 
     def run_process(self, gateway: GatewayProcess) -> None:
-        """A process does what it has to do, in the order of its loop: close, return, open, request."""
+        """Run one turn of a process's loop: take replies, close, open, request."""
         now, holder = gateway.now(self.true_ms), gateway.holder
         self.take_replies(gateway, now)
         self.use_sockets(gateway, now)
@@ -184,7 +187,7 @@
                 self.calls.append(CallInFlight(arrives_ms, gateway, command))
 
     def take_replies(self, gateway: GatewayProcess, now: float) -> None:
-        """Give a process the outcomes that have arrived."""
+        """Deliver the results that have arrived for a process."""
         arrived = [
             reply for reply in self.replies if reply.arrives_ms <= self.true_ms and reply.receiver is gateway
         ]
@@ -193,7 +196,7 @@
             gateway.holder.answered(now, reply.command, reply.result)
 
     def use_sockets(self, gateway: GatewayProcess, now: float) -> None:
-        """A process sees which of its connections have ended, and uses the others while its lease is valid."""
+        """Report ended connections to the holder, and use the others while the lease is valid."""
         for server, sockets in gateway.sockets.items():
             for socket in sockets:
                 if socket.closes_ms <= self.true_ms or socket not in self.sockets[server]:
@@ -207,7 +210,7 @@
             ]
 
     def close_excess(self, gateway: GatewayProcess, now: float) -> None:
-        """A process begins to close what its leases do not cover."""
+        """Begin to close the connections that the leases do not cover."""
         for server, count in gateway.holder.excess(now):
             not_closing = [socket for socket in gateway.sockets[server] if socket.closes_ms == NEVER]
             for socket in not_closing[:count]:
@@ -215,12 +218,12 @@
                 gateway.holder.closing(server)
 
     def lose(self, gateway: GatewayProcess, command: Command) -> None:
-        """The gateway hears nothing of a call."""
+        """Let a call time out at the gateway."""
         error = UnknownOutcome("x", "no answer")
         self.replies.append(ReplyInFlight(self.true_ms + TIMINGS.call_ms, gateway, command, error))
 
     def check_open_connections(self) -> None:
-        """No server has more connections than were granted."""
+        """Raise InvariantViolation if a server has more connections than were granted."""
         for server, sockets in self.sockets.items():
             if server in self.replicated.servers:
                 granted = self.replicated.servers[server].pool.granted()
@@ -231,7 +234,7 @@
                     )
 
     def inject_fault(self) -> None:
-        """Let anything happen that may, and some time go by."""
+        """Inject a random fault or change of demand, then let a random time pass."""
         random, n = self.random, self.random.randrange(3)
         gateway = self.gateways[n]
         kind = random.randrange(13)
@@ -249,7 +252,7 @@
             self.set_limit(random.choice(list(self.limits)), random.choice((2, 4, 6)))
         elif kind == 11:
             gateway.holder.draining = not gateway.holder.draining
-        elif not gateway.frozen:  # cut off, and lost with its machine about when its lease expires
+        elif not gateway.frozen:  # isolated, then lost with its machine at about the time its lease expires
             gateway.cut_off = True
             for _ in range(random.randrange(80, 110)):
                 self.step()
--- a/tests/support/contracts.py
+++ b/tests/support/contracts.py
@@ -1,4 +1,4 @@
-"""Contracts for tests: terms, a registry with a stated capacity, and what a leader looks at."""
+"""Contracts for tests: terms, a registry with a given capacity, and leaders' views."""
 
 from __future__ import annotations
 
@@ -20,45 +20,50 @@
 
 
 def contract_terms(
-    rate: float, start_ms: float, end_ms: float, tenant: str = "dealer", **more: Any
+    rate: float, start_ms: float, end_ms: float, tenant: str = "dealer", **fields: Any
 ) -> ContractTerms:
-    """Terms with one window, by default with a burst of 30 units."""
-    window = Window(start_ms, end_ms, more.pop("every_ms", 0.0), more.pop("until_ms", 0.0))
+    """Return terms with one window, by default with a burst of 30 units."""
+    window = Window(start_ms, end_ms, fields.pop("every_ms", 0.0), fields.pop("until_ms", 0.0))
     return ContractTerms(
-        tenant=tenant, customers=(1, 2), rate=rate, burst=more.pop("burst", 30.0), windows=(window,), **more
+        tenant=tenant,
+        customers=(1, 2),
+        rate=rate,
+        burst=fields.pop("burst", 30.0),
+        windows=(window,),
+        **fields,
     )
 
 
 def with_rate(terms: ContractTerms, rate: float) -> ContractTerms:
-    """The same terms at another rate."""
+    """Return the same terms at another rate."""
     return msgspec.structs.replace(terms, rate=rate)
 
 
 def registry_with_capacity(
     capacity: float = 100.0, reserve_fraction: float = 0.0, unreserved_rate: float = 0.0
 ) -> ContractRegistry:
-    """A registry without any contract."""
+    """Return a registry without contracts."""
     registry = ContractRegistry(TIMINGS, Invariants())
-    stated = SetCapacity(
+    command = SetCapacity(
         id="c", capacity=capacity, reserve_fraction=reserve_fraction, unreserved_rate=unreserved_rate
     )
-    assert registry.apply(0.0, stated).error is None
+    assert registry.apply(0.0, command).error is None
     return registry
 
 
 def propose(registry: ContractRegistry, at_ms: float, name: str, terms: ContractTerms) -> ApplyResult:
-    """Propose a contract at a moment."""
+    """Propose a contract at `at_ms`."""
     return registry.apply(at_ms, ProposeContract(id=name, contract=name, terms=terms))
 
 
 def leader_view(now: float) -> LeaderView:
-    """What a leader looks at whose monotonic clock and wall clock read the same."""
+    """Return the view of a leader whose monotonic clock and wall clock show the same time."""
     return LeaderView(now, now, "m/1", 0.0, TIMINGS, frozenset(), {}, {}, {}, {}, {})
 
 
 def reloaded(part: Any) -> Any:
-    """The same part of a state machine, loaded from its snapshot."""
-    other, stored = type(part)(TIMINGS, Invariants()), msgspec.msgpack.encode(part.dump())
-    other.load(msgspec.msgpack.decode(stored))
-    assert msgspec.msgpack.decode(msgspec.msgpack.encode(other.dump())) == msgspec.msgpack.decode(stored)
-    return other
+    """Return a copy of a part of a state machine, loaded from its snapshot."""
+    copy, stored = type(part)(TIMINGS, Invariants()), msgspec.msgpack.encode(part.dump())
+    copy.load(msgspec.msgpack.decode(stored))
+    assert msgspec.msgpack.decode(msgspec.msgpack.encode(copy.dump())) == msgspec.msgpack.decode(stored)
+    return copy
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -1,4 +1,4 @@
-"""A quota counter client under a clock that is moved by hand, and its counter's faults."""
+"""A quota counter client with a manual clock, and faults of its counter."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class CounterCalls:
-    """A counter client and the replies that its calls got."""
+    """A counter client and the replies to its calls."""
 
     def __init__(self, port: int, timeout_ms: float = 50.0) -> None:
         self.now_ms = NOW_MS
@@ -37,14 +37,14 @@
 
 
 def holds_no_call(client: QuotaCounterClient) -> bool:
-    """Whether the client holds nothing but its connection."""
+    """Return whether the client holds no calls and at most one connection."""
     pending = [call for call in client._pending if not call.ended]
     in_flight = any(connection.in_flight for connection in client._connections)
     return not (client._unsent or pending or in_flight) and len(client._connections) <= 1
 
 
 async def close_connections(counter: Standin, reset: bool = False) -> None:
-    """The counter closes its connections; the client's kernel knows, and the client has not looked yet."""
+    """Close the counter's connections; the client's kernel has seen this, the client's event loop not yet."""
     for writer in counter.writers:
         if reset:
             writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
@@ -54,14 +54,15 @@
 
 
 class StuckCounter(Standin):
-    """Reads one call, answers it, and reads no further."""
+    """Answers one call of each connection, and reads no further."""
 
     def __init__(self) -> None:
         super().__init__()
         self.calls = 0
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        reader._limit = 64  # type: ignore[attr-defined]  # else the stream reads ahead
+        """Answer one call, then read no further."""
+        reader._limit = 64  # type: ignore[attr-defined]  # otherwise the stream reads ahead
         await read_reply(reader)
         self.calls += 1
         writer.write(b"$1\r\n1\r\n")
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery agents that behave as they are told, and the discovery clients of many gateways."""
+"""Discovery agents with configurable behaviour, and the discovery clients of many gateways."""
 
 from __future__ import annotations
 
@@ -37,26 +37,28 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.history: list[dict[str, Any]] = [entry("a", 1), entry("b", 2)]  # version n: the first n
+        # Version n of the list is the result of the first n entries.
+        self.history: list[dict[str, Any]] = [entry("a", 1), entry("b", 2)]
         self.changed = asyncio.Event()
         self.behaviour = AgentBehaviour.ANSWERING
         self.polled_at: list[float] = []
-        self.abandoned_at: list[float] = []  # when polls that stayed unanswered were given up
+        self.abandoned_at: list[float] = []  # when clients closed connections with an unanswered poll
         self.indent: int | None = None
 
     async def __aenter__(self) -> VersionedAgent:
-        # The backlog: all gateways connect at once.
+        # The backlog is large because all gateways connect at once.
         self.server = await asyncio.start_server(self._connected, HOST, 0, backlog=1024)
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
     def publish(self, change: dict[str, Any]) -> None:
-        """Add a change to the list, and answer the polls that wait for one."""
+        """Add a change to the list, and answer the waiting polls."""
         self.history.append(change)
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the polls of one connection."""
         first = True
         while True:
             path = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
@@ -87,7 +89,7 @@
 
 
 class WatchingFleet:
-    """The discovery clients of many gateways, and when each was notified of what."""
+    """The discovery clients of many gateways, and their notifications with times."""
 
     def __init__(
         self,
@@ -97,7 +99,7 @@
         cached: EndpointSnapshot | None = None,
         draw: Callable[[], float] | None = None,
     ) -> None:
-        """`gateway_count`: of the fleet, as the settings tell the clients, where it is not `clients`."""
+        """`gateway_count`: the fleet's size in the clients' settings; 0 stands for `clients`."""
         loop = asyncio.get_running_loop()
         self.notifications: list[list[tuple[float, EndpointList]]] = [[] for _ in range(clients)]
 
@@ -119,10 +121,16 @@
             client.start()
 
     def all_notified_of_gone_at(self) -> float:
-        """When the last client was notified of an endpoint that is gone; raises StopIteration where one was
-        not."""
+        """Return when the last client was notified of a gone endpoint.
+
+        Raises StopIteration if a client was not notified of one.
+        """
         return max(
-            next(at for at, change in own if any(s.state is EndpointState.GONE for s in change.servers))
+            next(
+                at
+                for at, change in own
+                if any(server.state is EndpointState.GONE for server in change.servers)
+            )
             for own in self.notifications
         )
 
@@ -136,19 +144,20 @@
 
 # Agents that follow a script -------------------------------------------------------------------------------
 
-Act = Callable[[asyncio.StreamWriter], Awaitable[bool]]  # answers one poll; False: the connection ends
+Act = Callable[[asyncio.StreamWriter], Awaitable[bool]]  # answers one poll; False closes the connection
 
 
 class ScriptedAgent(Standin):
-    """Answers the polls with one act after another, and stays silent when there is none left."""
+    """Answers each poll with the next act, and leaves polls unanswered when no act is left."""
 
     def __init__(self, *acts: Act) -> None:
         super().__init__()
         self.acts = list(acts)
-        self.polls: list[tuple[float, int, str]] = []  # when, on which connection, for which path
+        self.polls: list[tuple[float, int, str]] = []  # time, number of the connection, path
         self.answered_at: list[float] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the polls of one connection by the script."""
         loop, number, more = asyncio.get_running_loop(), self.connections, True
         while more:
             path = (await reader.readuntil(b"\r\n\r\n")).decode().split(" ")[1]
@@ -161,7 +170,7 @@
 
 
 def sends(*pieces: bytes, interval_s: float | None = None, keep_open: bool = False) -> Act:
-    """Send these pieces, then close in good order."""
+    """Send the pieces, then close the connection unless `keep_open`."""
 
     async def act(writer: asyncio.StreamWriter) -> bool:
         for piece in pieces:
@@ -197,7 +206,10 @@
 
 
 def responds_slowly(body: bytes, seconds: float, delay_s: float = 0.0, early: bytes = b"") -> Act:
-    """Send `early`, and after the delay a response, its body in ten pieces over that many seconds."""
+    """Send `early`, then after the delay a response whose body is sent in ten pieces over `seconds`.
+
+    If `early` begins with the status line, only the body follows.
+    """
 
     async def act(writer: asyncio.StreamWriter) -> bool:
         writer.write(early)
@@ -212,7 +224,7 @@
 
 
 def responds_before_a_stall(body: bytes, seconds: float) -> Act:
-    """Send a response, then both machines stall: it and the timeout are found in one turn of the loop."""
+    """Send a response, then advance the clock, so that one turn of the loop sees both the response and the timeout."""
 
     async def act(writer: asyncio.StreamWriter) -> bool:
         await responds(body)(writer)
@@ -224,5 +236,5 @@
 
 
 def chunked(body: bytes) -> bytes:
-    """A response whose body is one chunk."""
+    """Return a response whose body is one chunk."""
     return OK + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n0\r\n\r\n" % (len(body), body)
--- a/tests/support/dispatcher_bench.py
+++ b/tests/support/dispatcher_bench.py
@@ -1,4 +1,4 @@
-"""A dispatcher under a clock that is moved by hand, before one recording upstream."""
+"""A dispatcher with a manual clock and one recording upstream."""
 
 from __future__ import annotations
 
@@ -27,32 +27,38 @@
         self.cancelled = False
 
     def cancel(self) -> None:
+        """Cancel the timer."""
         self.cancelled = True
 
 
 class FakeLoop:
-    """A loop whose time passes only in run()."""
+    """An event loop whose time advances only in run()."""
 
     def __init__(self) -> None:
         self._now, self._count = 0.0, 0
         self._due: list[tuple[float, int, FakeTimerHandle, Callable[..., object], tuple[Any, ...]]] = []
 
     def time(self) -> float:
+        """Return the loop's time in seconds."""
         return self._now
 
     def clock(self) -> float:
+        """Return the wall clock time in ms."""
         return NOW_MS + self._now * 1000.0
 
     def call_soon(self, callback: Callable[..., object], *args: Any) -> Any:
+        """Schedule a callback for the next run()."""
         return self.call_later(0.0, callback, *args)
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Any:
+        """Schedule a callback after a delay."""
         handle = FakeTimerHandle()
         self._count += 1
         heapq.heappush(self._due, (self._now + delay, self._count, handle, callback, args))
         return handle
 
     def run(self, seconds: float = 0.0) -> None:
+        """Advance the time and call the callbacks that are due."""
         until = self._now + seconds
         while self._due and self._due[0][0] <= until:
             at, _, handle, callback, args = heapq.heappop(self._due)
@@ -63,12 +69,13 @@
 
 
 class RecordingUpstream:
-    """An upstream that keeps the attempts it was given."""
+    """An upstream that records its attempts."""
 
     def __init__(self) -> None:
         self.attempts: list[Attempt] = []
 
     def start(self, execution: Attempt) -> None:
+        """Record an attempt."""
         self.attempts.append(execution)
 
 
@@ -76,7 +83,8 @@
     """A counter that must not be called."""
 
     def add(self, *_: object) -> None:
-        raise AssertionError("no counter here")
+        """Fail the test."""
+        raise AssertionError("the counter was called")
 
 
 class DispatcherBench:
@@ -84,11 +92,16 @@
 
     def __init__(self, **changes: Any) -> None:
         self.loop, self.upstream = FakeLoop(), RecordingUpstream()
-        made = settings(
+        bench_settings = settings(
             has_counter=False, classes=(IDEMPOTENT_CLASS, KEYED_CLASS, NOT_IDEMPOTENT_CLASS), **changes
         )
         self.dispatcher = Dispatcher(
-            made, 1, ActorScheduler(self.loop), self.loop.clock, lambda _: self.upstream, NoCounter()
+            bench_settings,
+            1,
+            ActorScheduler(self.loop),
+            self.loop.clock,
+            lambda _: self.upstream,
+            NoCounter(),
         )
         self.dispatcher.update_endpoints(
             api.EndpointList(api.ListScope.FULL, (api.Server(1, "a", "std", 0, api.EndpointState.UP),))
@@ -96,13 +109,15 @@
         self.responses: list[Response] = []
         self.submitted = 0
 
-    def submit(self, cls: str = "balance-check", d: float = 2000.0, **more: Any) -> Callable[[], None]:
+    def submit(self, cls: str = "balance-check", d: float = 2000.0, **fields: Any) -> Callable[[], None]:
+        """Submit a request with the deadline `d` (ms); returns what the client's disconnect calls."""
         self.submitted += 1
-        asked = Request(f"r{self.submitted}", cls, "free", 5, d, 1.0, 1, **more)
-        left = self.dispatcher.submit(asked, self.responses.append)
+        request = Request(f"r{self.submitted}", cls, "free", 5, d, 1.0, 1, **fields)
+        disconnect = self.dispatcher.submit(request, self.responses.append)
         self.loop.run()
-        return left
+        return disconnect
 
     @property
     def last_attempt(self) -> Attempt:
+        """The attempt started last."""
         return self.upstream.attempts[-1]
--- a/tests/support/lease_holders.py
+++ b/tests/support/lease_holders.py
@@ -1,5 +1,8 @@
-"""Holders of leases on one pool as a stateful property test: they request, forget, repeat and expire in any
-order, and shares stay within the capacity and units never come from nothing."""
+"""Stateful property test of the lease holders of one pool.
+
+Holders request, renew, repeat and expire leases in any order; the shares stay within the capacity, and no units are
+created.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 class HeldLease(NamedTuple):
-    """What a holder believes that it has."""
+    """A lease as its holder knows it."""
 
     number: int = 0
     share: float = 0.0
@@ -25,7 +28,7 @@
 
 
 class LeaseHolders(RuleBasedStateMachine):
-    """See the module."""
+    """The state machine that the module's docstring describes."""
 
     @initialize(
         capacity=st.sampled_from([60.0, 7.0]),
@@ -37,7 +40,7 @@
         self.checks = Invariants()
         self.pool = LeasePool(capacity, depth, step, even_split=step > 0)
         self.held: dict[str, HeldLease] = {}
-        self.max_units = depth  # that there may be in all buckets
+        self.max_units = depth  # upper bound of the units in the pool and all buckets
 
     @rule(
         holder=st.sampled_from("abcd"),
--- a/tests/support/lease_simulation.py
+++ b/tests/support/lease_simulation.py
@@ -1,7 +1,7 @@
-"""One tenant's contract in simulated time: five gateways with clocks of their own, a network that delays,
-loses and repeats calls, gateways that freeze, and two replicas of the tenant's group of which either leads.
+"""Simulation of one tenant's contract: five gateways with their own clocks, a network that delays, loses and
+repeats calls, gateways that freeze, and two replicas of the tenant's group, one of which leads.
 
-The checker looks at what gateways believe that they may use, never at what the group says.
+The checks use the rates that the gateways hold, never the group's own state.
 """
 
 from __future__ import annotations
@@ -32,8 +32,11 @@
 
 
 class LeaseSimulation:
-    """See the module.  `faulty`: calls are lost, late and repeated, clocks drift (the leader's is the
-    fastest), gateways freeze and are cut off, and the leader changes."""
+    """The simulation that the module's docstring describes.
+
+    `faulty`: calls are lost, late and repeated, clocks drift (the leader's is the fastest), gateways freeze and are
+    isolated, and the leader changes.
+    """
 
     queue: list[tuple[float, int, Callable[[], None]]]
 
@@ -55,14 +58,14 @@
         self.leader = 0
         drift = self.timings.clock_drift if faulty else 0.0
         self.leader_clock_rate = 1.0 + drift
-        # Of each gateway's clock: its offset, and its rate.
+        # Offset (ms) and rate of each gateway's clock.
         self.clocks = [
             (self.random.uniform(0.0, 1e5), self.random.choice([1 - drift, 1.0, 1 + drift]))
             for _ in range(GATEWAYS)
         ]
         self.clients = [ReservationClient(f"g{n}/1", "p", self.timings) for n in range(GATEWAYS)]
         self.frozen_until_ms, self.cut_until_ms = [0.0] * GATEWAYS, [0.0] * GATEWAYS
-        self.checked_level, self.checked_ms = 0.0, 0.0  # the checker's bucket: units above the rate
+        self.checked_level, self.checked_ms = 0.0, 0.0  # the bucket of `check_served`: units above the rate
         self.max_held_rate = 0.0
         terms = contract_terms(rate, self.start_ms, self.end_ms, burst=burst)
         assert propose(self.registry, 0.0, CONTRACT, terms).error is None
@@ -77,11 +80,11 @@
     # ------------------------------------------------------------------------------------
 
     def at(self, when_ms: float, do: Callable[[], None]) -> None:
-        """Do something at a moment."""
+        """Call `do` at a time."""
         heapq.heappush(self.queue, (when_ms, next(self.events), do))
 
     def every(self, period_ms: float, do: Callable[[], object]) -> None:
-        """Do something again and again."""
+        """Call `do` periodically, first after a random part of the period."""
 
         def repeat() -> None:
             do()
@@ -90,14 +93,14 @@
         self.at(self.random.uniform(0.0, period_ms), repeat)
 
     def run(self, until_ms: float) -> None:
-        """Let time pass."""
+        """Run all events up to a time."""
         while self.queue[0][0] <= until_ms:
             self.time_ms, _, do = heapq.heappop(self.queue)
             do()
         self.time_ms = until_ms
 
     def now(self, gateway: int) -> float:
-        """A gateway's monotonic clock."""
+        """Return the time of a gateway's monotonic clock."""
         offset_ms, rate = self.clocks[gateway]
         return offset_ms + self.time_ms * rate
 
@@ -105,7 +108,7 @@
     # ------------------------------------------------------------------------------------
 
     def poll(self, gateway: int) -> None:
-        """Make the calls that a gateway has to make."""
+        """Make the calls that are due at a gateway."""
         if self.time_ms >= self.frozen_until_ms[gateway]:
             for command in self.clients[gateway].poll(self.now(gateway), self.time_ms):
                 self.call(gateway, command)
@@ -137,15 +140,15 @@
             self.at(self.time_ms + self.delay_ms(), arrive)
 
     def is_lost(self, gateway: int) -> bool:
-        """Whether a message to or from a gateway is lost."""
+        """Return whether a message to or from a gateway is lost."""
         return self.time_ms < self.cut_until_ms[gateway] or (self.faulty and self.random.random() < 0.1)
 
     def delay_ms(self) -> float:
-        """How long a message takes."""
+        """Return the delay of a message."""
         return self.random.choice([2.0, 5.0, 30.0, 400.0]) if self.faulty else self.random.uniform(1.0, 4.0)
 
     def apply(self, command: Command) -> ApplyResult:
-        """Apply a command at the group it is for; the follower sees it later than the leader."""
+        """Apply a command in its group; the follower records it later than the leader."""
         if command.key() == "":
             if command.is_read_only:
                 return self.registry.query(command)
@@ -161,18 +164,18 @@
         return results[0]
 
     def run_leader_tasks(self) -> None:
-        """Apply what both groups' leaders propose."""
+        """Apply the commands that the leaders of both groups propose."""
         view = replace(leader_view(self.time_ms), now=self.time_ms * self.leader_clock_rate)
         tasks = self.registry.leader_tasks(view) + self.replicas[self.leader].leader_tasks(view)
         for command in tasks:
             self.apply(command)
 
     def inject_fault(self) -> None:
-        """Cut off or freeze a gateway, change the leader, or do nothing."""
+        """Isolate or freeze a gateway, change the leader, or do nothing."""
         gateway = self.random.randrange(GATEWAYS)
         kind = self.random.choice(["cut", "freeze", "lead", "none"])
-        if kind == "cut":  # whoever holds most, and the tenant's requests still come in there
-            gateway = max(range(GATEWAYS), key=lambda one: self.clients[one].held_rate(self.now(one)))
+        if kind == "cut":  # the gateway that holds the highest rate, where requests still arrive
+            gateway = max(range(GATEWAYS), key=lambda index: self.clients[index].held_rate(self.now(index)))
             self.cut_until_ms[gateway] = self.time_ms + self.random.choice([500.0, 4000.0])
         elif kind == "freeze":
             self.frozen_until_ms[gateway] = self.time_ms + self.random.choice([300.0, 1900.0, 4000.0])
@@ -180,11 +183,11 @@
             self.leader = 1 - self.leader
             self.replicas[self.leader].record_applied(self.time_ms * self.leader_clock_rate)
 
-    # Requests, and what is checked
+    # Requests and checks
     # ------------------------------------------------------------------------------------
 
     def request(self, gateway: int, units: float = 1.0) -> bool:
-        """One request of the tenant at a gateway; whether it was served at once."""
+        """Make one request of the tenant at a gateway; returns whether it was served at once."""
         if self.time_ms < self.frozen_until_ms[gateway]:
             return False
         reserved = self.clients[gateway].draw(self.now(gateway), 1, units)
@@ -193,7 +196,7 @@
         return reserved is not None
 
     def check_held_rate(self) -> None:
-        """What gateways hold sums to at most the contract's rate."""
+        """Raise InvariantViolation if the gateways together hold more than the contract's rate."""
         held_rate = sum(
             client.held_rate(self.now(gateway))
             for gateway, client in enumerate(self.clients)
@@ -206,12 +209,12 @@
             )
 
     def check_served(self, units: float) -> None:
-        """What gateways serve is at most the contract's rate and burst."""
+        """Raise InvariantViolation if the gateways serve more than the contract's rate and burst."""
         rate = self.rate * (1.0 + self.timings.clock_drift) / 1000.0
-        left = max(self.checked_level - (self.time_ms - self.checked_ms) * rate, 0.0)
-        self.checked_level, self.checked_ms = left + units, self.time_ms
+        remaining = max(self.checked_level - (self.time_ms - self.checked_ms) * rate, 0.0)
+        self.checked_level, self.checked_ms = remaining + units, self.time_ms
         if self.checked_level > self.burst + 1.0 + 1e-6:
             raise InvariantViolation(
                 Rule.PARTS_IN_WHOLE,
-                f"{self.checked_level:g} units above the rate, {self.burst:g} may be",
+                f"{self.checked_level:g} units above the rate, at most {self.burst:g} allowed",
             )
--- a/tests/support/member_network.py
+++ b/tests/support/member_network.py
@@ -29,13 +29,14 @@
 
 
 def make_members(count: int) -> tuple[Member, ...]:
-    return tuple(Member(f"m{at:03}", "ab"[at % 2]) for at in range(count))
+    """Return members named m000, m001 and so on, in two zones in turn."""
+    return tuple(Member(f"m{index:03}", "ab"[index % 2]) for index in range(count))
 
 
 class MemberNetwork:
-    """Processes of `Membership` or `Bootstrap` (by `kind`), with their disks; frozen ones keep what comes for them.
+    """Processes of `Membership` or `Bootstrap` (by `kind`) with their disks; frozen ones queue their events.
 
-    `delay` gives the time (ms) that a message takes between two names, or None where it is lost.
+    `delay` returns the delay (ms) of a message between two member names, or None if the message is lost.
     """
 
     def __init__(self, count: int, seed: int, kind: str = "membership") -> None:
@@ -45,22 +46,24 @@
         self.ids: dict[str, MemberId] = {}
         self.disk: dict[str, PersistedGroup] = {}
         self.ticks: dict[str, float] = {}
-        self.queue: list[tuple[float, int, str, MemberId, Any]] = []  # when, order, to, as whom, event
+        self.queue: list[
+            tuple[float, int, str, MemberId, Any]
+        ] = []  # due time, order, recipient, its id, event
         self.frozen: dict[str, list[tuple[MemberId, Any]]] = {}
         self.sent: Counter[str] = Counter()
         self.log_events: list[tuple[float, str, LogEvent]] = []
         self.order = 0
-        self.delay: Callable[[str, str], float | None] = lambda a, b: self.draw.uniform(0.2, 2.0)
+        self.delay: Callable[[str, str], float | None] = lambda sender, recipient: self.draw.uniform(0.2, 2.0)
 
     def start(self, name: str, wiped: bool = False) -> None:
-        """A process starts: as it was, or with a new store and so as a new incarnation."""
+        """Start a process with its stored state, or with an empty store and so as a new incarnation."""
         if wiped or name not in self.ids:
             self.disk[name] = PersistedGroup()
             self.ids[name] = f"{name}/{self.draw.getrandbits(32):08x}"
         draw, incarnation = random.Random(self.draw.random()), self.ids[name].partition("/")[2]
-        hall = next(one.zone for one in self.members if one.name == name)
+        zone = next(member.zone for member in self.members if member.name == name)
         self.nodes[name] = (
-            Membership(self.ids[name], hall, self.members, TIMES, draw, self.now)
+            Membership(self.ids[name], zone, self.members, TIMES, draw, self.now)
             if self.kind == "membership"
             else Bootstrap(
                 NodeSetup("yard", name, incarnation, self.members), self.disk[name], draw, self.now
@@ -69,42 +72,48 @@
         self.tick(name)
 
     def stop(self, name: str) -> None:
+        """End a process."""
         self.nodes.pop(name)
         self.frozen.pop(name, None)
 
     def tick(self, name: str) -> None:
+        """Schedule a tick for the time at which a process is due."""
         due = self.nodes[name].due
         if due != self.ticks.get(name) and due < float("inf"):
             self.ticks[name] = due
-            self.put(max(due, self.now), name, self.ids[name], Tick())
+            self.schedule(max(due, self.now), name, self.ids[name], Tick())
 
-    def put(self, when: float, to: str, who: MemberId, event: Any) -> None:
+    def schedule(self, when: float, to: str, who: MemberId, event: Any) -> None:
+        """Schedule an event for a process with an id."""
         self.order += 1
         heapq.heappush(self.queue, (when, self.order, to, who, event))
 
     def deliver(self, name: str, event: Any) -> None:
+        """Let a process handle an event."""
         self.carry_out(name, self.nodes[name].handle(self.now, event))
 
     def carry_out(self, name: str, effects: list[Any]) -> None:
-        for one in effects:
-            if isinstance(one, LogEvent):
-                self.log_events.append((self.now, name, one))
-            elif isinstance(one, PersistRecords):
-                self.put(self.now + self.draw.uniform(1, 20), name, self.ids[name], one)
-            elif isinstance(one, SendMessage):
+        """Carry out the effects of a process."""
+        for effect in effects:
+            if isinstance(effect, LogEvent):
+                self.log_events.append((self.now, name, effect))
+            elif isinstance(effect, PersistRecords):
+                self.schedule(self.now + self.draw.uniform(1, 20), name, self.ids[name], effect)
+            elif isinstance(effect, SendMessage):
                 self.sent[name] += 1
-                took = self.delay(name, member_name(one.to))
-                if took is not None:
-                    self.put(
-                        self.now + took,
-                        member_name(one.to),
-                        one.to,
-                        MessageReceived(self.ids[name], one.message),
+                delay_ms = self.delay(name, member_name(effect.to))
+                if delay_ms is not None:
+                    self.schedule(
+                        self.now + delay_ms,
+                        member_name(effect.to),
+                        effect.to,
+                        MessageReceived(self.ids[name], effect.message),
                     )
         if name in self.nodes:
             self.tick(name)
 
     def run(self, until: float) -> None:
+        """Run all events up to a time."""
         while self.queue and self.queue[0][0] <= until:
             self.now, _, name, who, event = heapq.heappop(self.queue)
             if name not in self.nodes or who not in (self.ids[name], name + "/"):
@@ -113,7 +122,7 @@
                 self.ticks[name] = -1.0
             if name in self.frozen:
                 if not isinstance(event, Tick) or not any(
-                    isinstance(one, Tick) for _, one in self.frozen[name]
+                    isinstance(queued, Tick) for _, queued in self.frozen[name]
                 ):
                     self.frozen[name].append((who, event))
             elif isinstance(event, PersistRecords):
@@ -126,23 +135,26 @@
         self.now = until
 
     def thaw(self, name: str) -> None:
+        """Continue a frozen process with its queued events."""
         for who, event in self.frozen.pop(name):
-            self.put(self.now, name, who, event)
-        self.put(self.now, name, self.ids[name], Tick())
+            self.schedule(self.now, name, who, event)
+        self.schedule(self.now, name, self.ids[name], Tick())
 
     def state_counts(self, who: str) -> Counter[str]:
-        return Counter(one.state_of(who) for name, one in self.nodes.items() if name != member_name(who))
+        """Return how many other processes see a member in each state."""
+        return Counter(node.state_of(who) for name, node in self.nodes.items() if name != member_name(who))
 
     def names_reported_dead(self, since: float = 0.0) -> set[str]:
-        """Names that anybody has called dead."""
+        """Return the names of members that any process has reported dead since a time."""
         return {
-            member_name(say.fields["who"])
-            for at, _, say in self.log_events
-            if at >= since and say.event == "fleet_member" and say.fields["state"] == "dead"
+            member_name(log_event.fields["who"])
+            for at, _, log_event in self.log_events
+            if at >= since and log_event.event == "fleet_member" and log_event.fields["state"] == "dead"
         }
 
 
 def apply_records(saved: PersistedGroup, event: PersistRecords) -> PersistedGroup:
+    """Return the stored state after a write."""
     for record in event.records:
         if isinstance(record, HardState):
             saved = PersistedGroup(record.current_term, record.voted_for, saved.snapshot, saved.entries)
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the checkout lies."""
+"""The path of the checkout."""
 
 from pathlib import Path
 
--- a/tests/support/policy_drive.py
+++ b/tests/support/policy_drive.py
@@ -1,4 +1,4 @@
-"""A seeded world around one decision module: clients, servers and a counter that answer by chance."""
+"""A seeded simulation around one decision engine: clients, servers and a counter with random replies."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     api.Verdict.RESET,
 )
 COUNTER_VERDICTS = (api.Verdict.OK,) * 9 + (api.Verdict.TIMEOUT, api.Verdict.QUEUE_FULL)
-OTHERS_PER_CALL = 0.2  # units that another gateway tells the counter between two calls
-ARRIVAL_MS, ANSWER_MS, COUNTER_MS = 12.0, 60.0, (1.0, 30.0)
+OTHER_GATEWAY_UNITS_PER_CALL = 0.2  # units that other gateways add to the counter between two calls
+MEAN_ARRIVAL_INTERVAL_MS, MEAN_RTT_MS, COUNTER_RTT_RANGE_MS = 12.0, 60.0, (1.0, 30.0)
 
 
 class PolicyDriver:
-    """Plays events in the order of their times and answers the actions they cause."""
+    """Handles events in the order of their times and schedules the answers to the actions."""
 
     def __init__(self, gateway: DecisionEngine, seed: int, now: float) -> None:
         self.gateway, self.now = gateway, now
@@ -46,31 +46,31 @@
         self._attempts: defaultdict[str, int] = defaultdict(int)
         self._totals: defaultdict[int, float] = defaultdict(float)
         self.record: list[str] = []
-        self._arrive_later()
+        self._schedule_arrival()
 
     def schedule(self, at: float, event: api.Event) -> None:
-        """Have an event come at a time."""
+        """Schedule an event at a time."""
         self._scheduled += 1
         heapq.heappush(self._due, (at, self._scheduled, event))
 
     def handle_events(self, events: int) -> None:
-        """Handle so many events; each is recorded with its time and its actions."""
+        """Handle `events` events, and record each with its time and actions."""
         for _ in range(events):
             self.now, _, event = heapq.heappop(self._due)
             if isinstance(event, api.Request):
-                self._arrive_later()
+                self._schedule_arrival()
             actions = self.gateway.handle(self.now, event)
             self.record.append(canonical((self.now, event, actions)))
             self.answer(actions)
 
     def answer(self, actions: list[api.Action]) -> None:
-        """Have the answers to these actions come."""
+        """Schedule the answers to actions."""
         for action in actions:
             match action:
                 case api.SendAttempt():
-                    self._served(action)
+                    self._schedule_outcome(action)
                 case api.AddToCounter(name=name, units=units):
-                    self._counted(name, units)
+                    self._schedule_counter_reply(name, units)
                 case api.SetTimer(at_ms=at, token=token):
                     self.schedule(max(at, self.now), api.TimerFired(token))
                 case api.CancelAttempt(id=request, attempt=attempt):
@@ -80,11 +80,11 @@
                 case _:
                     pass
 
-    def _arrive_later(self) -> None:
+    def _schedule_arrival(self) -> None:
         draw = self._random
         self._arrived += 1
         customer = draw.choice(list(CUSTOMERS))
-        at = self.now + draw.expovariate(1 / ARRIVAL_MS)
+        at = self.now + draw.expovariate(1 / MEAN_ARRIVAL_INTERVAL_MS)
         request = samples.request(
             f"{self._prefix}{self._arrived}",
             draw.choice(CLASSES),
@@ -98,18 +98,18 @@
         if draw.random() < 0.05:
             self.schedule(at + 20.0, api.ClientDisconnected(request.id))
 
-    def _served(self, send: api.SendAttempt) -> None:
+    def _schedule_outcome(self, send: api.SendAttempt) -> None:
         attempt = self._attempts[send.id]
         self._attempts[send.id] += 1
-        rtt = self._random.expovariate(1 / ANSWER_MS)
+        rtt = self._random.expovariate(1 / MEAN_RTT_MS)
         verdict = self._random.choice(VERDICTS)
         outcome = samples.outcome(send, verdict, attempt, rtt)
         self.schedule(self.now + rtt, replace(outcome, true_units=self._random.choice((0.0, 0.25, 1.5))))
 
-    def _counted(self, name: int, units: float) -> None:
+    def _schedule_counter_reply(self, name: int, units: float) -> None:
         verdict = self._random.choice(COUNTER_VERDICTS)
-        rtt = self._random.uniform(*COUNTER_MS)
+        rtt = self._random.uniform(*COUNTER_RTT_RANGE_MS)
         if verdict is not api.Verdict.QUEUE_FULL:
-            self._totals[name] += units + OTHERS_PER_CALL
+            self._totals[name] += units + OTHER_GATEWAY_UNITS_PER_CALL
         total = self._totals[name] if verdict is api.Verdict.OK else 0.0
         self.schedule(self.now + rtt, api.CounterReply(name, verdict, rtt, total))
--- a/tests/support/policy_fleet.py
+++ b/tests/support/policy_fleet.py
@@ -1,4 +1,4 @@
-"""Many real decision engines before model servers, in simulated time: for effects that add up over a fleet."""
+"""Many real decision engines in front of model servers, in simulated time: for effects that add up over a fleet."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 class GatewayFleet:
-    """Gateways before servers that work on all attempts in flight at once, the slower the more these are.
+    """Gateways in front of servers that process all attempts in flight concurrently, and slow down beyond `cores`.
 
-    `work` draws a request's time on an idle server; `pace` gives a gateway's requests per second.
+    `work` draws the time (ms) that a request takes on an idle server.
     """
 
     def __init__(
@@ -30,53 +30,55 @@
         **settings: Any,
     ) -> None:
         self.random = random.Random(seed)
-        made = {"plans": (api.Plan("plain"),), "has_counter": False, "gateway_count": gateways, **settings}
+        fields = {"plans": (api.Plan("plain"),), "has_counter": False, "gateway_count": gateways, **settings}
         self.engines = [
-            DecisionEngine(replace(SETTINGS, gateway_index=n, **made), seed * 1000 + n)
+            DecisionEngine(replace(SETTINGS, gateway_index=n, **fields), seed * 1000 + n)
             for n in range(gateways)
         ]
         self.work, self.cores, self.now = work, cores, START
         self.silent_servers: set[int] = set()  # servers that never answer
         self.in_flight: dict[int, int] = defaultdict(int)
-        self.sends: list[tuple[float, int, int]] = []  # when, by which gateway, to which server
+        self.sends: list[tuple[float, int, int]] = []  # time, gateway, server
         self.rejected = self.cancelled = self.served = 0
         self._events: list[tuple[float, int, int, api.Event]] = []
-        self._last_number = 0
-        self._open_attempts: dict[tuple[int, str], tuple[int, int, float]] = {}  # attempt, server, since
+        self._scheduled_count = 0
+        self._open_attempts: dict[tuple[int, str], tuple[int, int, float]] = {}  # attempt, server, start time
         self.update_endpoints(servers)
 
     def update_endpoints(
         self, servers: Iterable[api.Server], scope: api.ListScope = api.ListScope.FULL
     ) -> None:
-        """All gateways get an endpoint list."""
-        for one in self.engines:
-            one.handle(self.now, api.EndpointList(scope, tuple(servers)))
+        """Send an endpoint list to all gateways."""
+        for engine in self.engines:
+            engine.handle(self.now, api.EndpointList(scope, tuple(servers)))
 
     def _schedule(self, at: float, gateway: int, event: api.Event) -> None:
-        self._last_number += 1
-        heapq.heappush(self._events, (at, self._last_number, gateway, event))
+        self._scheduled_count += 1
+        heapq.heappush(self._events, (at, self._scheduled_count, gateway, event))
 
-    def run(self, seconds: float, pace: float | Callable[[int], float]) -> None:
-        """Requests come to each gateway at random at its pace; all events until then are handled."""
+    def run(self, seconds: float, requests_per_second: float | Callable[[int], float]) -> None:
+        """Send each gateway requests at random at a rate (per second), and handle all events of `seconds`."""
         until = self.now + seconds * 1000
         for n in range(len(self.engines)):
             at = self.now
-            rate = pace(n) if callable(pace) else pace
+            rate = requests_per_second(n) if callable(requests_per_second) else requests_per_second
             while (at := at + self.random.expovariate(rate / 1000)) < until:
-                self._last_number += 1
-                rid = f"r{self._last_number}"
-                self._schedule(at, n, api.Request(rid, "read", "plain", self._last_number, 4000.0, 1.0, 1))
+                self._scheduled_count += 1
+                rid = f"r{self._scheduled_count}"
+                self._schedule(
+                    at, n, api.Request(rid, "read", "plain", self._scheduled_count, 4000.0, 1.0, 1)
+                )
         while self._events and self._events[0][0] < until:
             self.now, _, n, event = heapq.heappop(self._events)
             if isinstance(event, api.AttemptOutcome):
                 if self._open_attempts.get((n, event.id), (None,))[0] != event.attempt:
                     continue
-                self._end_attempt(n, event)
+                self._handle_outcome(n, event)
             else:
                 self._carry_out(n, self.engines[n].handle(self.now, event))
         self.now = until
 
-    def _end_attempt(self, n: int, event: api.AttemptOutcome) -> None:
+    def _handle_outcome(self, n: int, event: api.AttemptOutcome) -> None:
         self.in_flight[self._open_attempts.pop((n, event.id))[1]] -= 1
         self.served += event.verdict is api.Verdict.OK
         self._carry_out(n, self.engines[n].handle(self.now, event))
@@ -89,18 +91,18 @@
                     self.sends.append((self.now, n, server))
                     self.in_flight[server] += 1
                     self._open_attempts[n, rid] = attempt, server, self.now
-                    took = self.work(self.random) * max(1.0, self.in_flight[server] / self.cores)
-                    end = api.AttemptOutcome(rid, attempt, server, api.Verdict.OK, took, True)
+                    rtt_ms = self.work(self.random) * max(1.0, self.in_flight[server] / self.cores)
+                    end = api.AttemptOutcome(rid, attempt, server, api.Verdict.OK, rtt_ms, True)
                     if server not in self.silent_servers:
-                        self._schedule(self.now + took, n, end)
+                        self._schedule(self.now + rtt_ms, n, end)
                 case api.SetTimer(at_ms=at, token=token):
                     self._schedule(at, n, api.TimerFired(token))
                 case api.CancelAttempt(id=rid, attempt=attempt):
                     self.cancelled += 1
-                    server, since = self._open_attempts[n, rid][1:]
-                    took = self.now - since
-                    self._end_attempt(
-                        n, api.AttemptOutcome(rid, attempt, server, api.Verdict.CANCELLED, took, False)
+                    server, started_ms = self._open_attempts[n, rid][1:]
+                    rtt_ms = self.now - started_ms
+                    self._handle_outcome(
+                        n, api.AttemptOutcome(rid, attempt, server, api.Verdict.CANCELLED, rtt_ms, False)
                     )
                 case api.Reject():
                     self.rejected += 1
--- a/tests/support/raft_group.py
+++ b/tests/support/raft_group.py
@@ -1,5 +1,5 @@
-"""A group of Raft replicas in a small simulated network: loss, delay, partitions, crashes, pauses; and a checker
-of the complete history."""
+"""A group of Raft replicas in a simulated network with loss, delay, partitions, crashes and pauses, and a check of
+the complete history."""
 
 from __future__ import annotations
 
@@ -46,17 +46,18 @@
 
 
 class HistoryViolation(AssertionError):
-    """The complete history of a group breaks a guarantee."""
+    """The history of a group violates a guarantee."""
 
 
 @dataclass
 class RecordingStateMachine:
-    """A state machine that keeps all commands with their index."""
+    """A state machine that records all commands with their indexes."""
 
     group: SimulatedGroup
     rows: list[tuple[int, bytes]] = field(default_factory=list)
 
     def apply(self, now: float, index: int, body: bytes) -> int:
+        """Record a command; raises HistoryViolation if another one has its index."""
         if self.group.committed_commands.setdefault(index, body) != body:
             raise HistoryViolation(
                 f"two commands: {body!r} and {self.group.committed_commands[index]!r} at {index}"
@@ -67,15 +68,17 @@
         return index
 
     def dump(self) -> bytes:
+        """Return a snapshot."""
         return msgspec.msgpack.encode(self.rows)
 
     def restore(self, now: float, body: bytes) -> None:
+        """Load a snapshot."""
         self.rows = msgspec.msgpack.decode(body, type=list[tuple[int, bytes]])
 
 
 @dataclass
 class SimulatedProcess:
-    """One process with its disk."""
+    """A process and its disk."""
 
     member_id: MemberId
     config: GroupConfiguration | None
@@ -91,18 +94,18 @@
 
 
 def apply_write(saved: PersistedGroup, write: PersistRecords) -> PersistedGroup:
-    """What stable storage holds after a write."""
+    """Return the stored state after a write."""
     for record in write.records:
         if isinstance(record, HardState):
             saved = replace(saved, current_term=record.current_term, voted_for=record.voted_for)
         elif isinstance(record, Entries):
-            kept = tuple(one for one in saved.entries if one.index < record.entries[0].index)
+            kept = tuple(entry for entry in saved.entries if entry.index < record.entries[0].index)
             saved = replace(saved, entries=kept + record.entries)
         elif isinstance(record, Snapshot):
             saved = replace(
                 saved,
                 snapshot=record,
-                entries=tuple(one for one in saved.entries if one.index > record.last_included_index),
+                entries=tuple(entry for entry in saved.entries if entry.index > record.last_included_index),
             )
     return saved
 
@@ -110,9 +113,9 @@
 class OpenCall(NamedTuple):
     """An operation without its result."""
 
-    kind: str  # of `CALL_KINDS`
+    kind: str  # one of the values of `CALL_KINDS`
     member_id: MemberId
-    acknowledged_index: int  # the highest one acknowledged before the call
+    acknowledged_index: int  # the highest index acknowledged before the call
 
 
 class SimulatedGroup:
@@ -123,7 +126,7 @@
     ) -> None:
         self.rng, self.replica_type, self.unreliable = random.Random(seed), replica_type, unreliable
         self.now_ms, self.scheduled_count = 0.0, 0
-        self.calendar: list[tuple[float, int, Callable[[], None]]] = []
+        self.scheduled_events: list[tuple[float, int, Callable[[], None]]] = []
         self.committed_commands: dict[int, bytes] = {}
         self.leader_of_term: dict[int, MemberId] = {}
         self.blocked_links: set[tuple[MemberId, MemberId]] = set()
@@ -137,6 +140,7 @@
             self.add_process(who, config)
 
     def add_process(self, who: MemberId, config: GroupConfiguration | None) -> SimulatedProcess:
+        """Add and start a process with an empty disk."""
         process = self.processes[who] = SimulatedProcess(who, config)
         if self.unreliable:
             process.clock_rate = self.rng.uniform(0.99, 1.01)
@@ -144,6 +148,7 @@
         return process
 
     def start_process(self, process: SimulatedProcess) -> None:
+        """Start a process with the state on its disk."""
         process.start_count += 1
         process.state_machine, process.open_writes, process.frozen_events, process.frozen = (
             RecordingStateMachine(self),
@@ -165,21 +170,23 @@
         self.schedule_tick(process)
 
     def schedule(self, ms: float, act: Callable[[], None]) -> None:
+        """Call `act` after a delay."""
         self.scheduled_count += 1
-        heapq.heappush(self.calendar, (self.now_ms + ms, self.scheduled_count, act))
+        heapq.heappush(self.scheduled_events, (self.now_ms + ms, self.scheduled_count, act))
 
     def run(self, ms: float, until: Callable[[], bool] | None = None) -> bool:
-        """Let that much time pass, or less where a condition holds sooner."""
+        """Run for `ms`, or until a condition holds; returns whether it held."""
         end = self.now_ms + ms
-        while self.calendar and self.calendar[0][0] <= end:
+        while self.scheduled_events and self.scheduled_events[0][0] <= end:
             if until is not None and until():
                 return True
-            self.now_ms, _, act = heapq.heappop(self.calendar)
+            self.now_ms, _, act = heapq.heappop(self.scheduled_events)
             act()
         self.now_ms = end
         return until is not None and until()
 
     def deliver(self, process: SimulatedProcess, event: ReplicaEvent) -> None:
+        """Let a process handle an event, or queue it while the process is frozen."""
         if process.replica is None:
             return
         if process.frozen:
@@ -198,6 +205,7 @@
         self.schedule_tick(process)
 
     def schedule_tick(self, process: SimulatedProcess) -> None:
+        """Schedule a tick for the time at which a process is due."""
         replica, start_count = process.replica, process.start_count
         if replica is None or replica.due_ms == float("inf"):
             return
@@ -210,6 +218,7 @@
         self.schedule(max(due / process.clock_rate - self.now_ms, 0.0) + 0.01, act)
 
     def carry_out(self, process: SimulatedProcess, effects: list[Effect]) -> None:
+        """Carry out the effects of a process."""
         start_count = process.start_count
         for effect in effects:
             if isinstance(effect, SendMessage):
@@ -227,12 +236,14 @@
                 self.record_answer(process, effect.token, effect.result)
 
     def complete_write(self, process: SimulatedProcess, start_count: int) -> None:
+        """Complete the oldest open write of a process."""
         if process.start_count == start_count and process.open_writes and not process.hold_writes:
             write = process.open_writes.pop(0)
             process.saved = apply_write(process.saved, write)
             self.deliver(process, RecordsPersisted("g", write.sequence))
 
     def send(self, sender: MemberId, to: MemberId, message: Any) -> None:
+        """Send a message over the network, which may lose, delay or duplicate it."""
         if (sender, to) in self.blocked_links or self.is_lost(sender, to, message):
             return
         copies = 1
@@ -247,6 +258,7 @@
             self.schedule(delay, lambda: self.receive(sender, to, message))
 
     def receive(self, sender: MemberId, to: MemberId, message: Any) -> None:
+        """Deliver a message, if its recipient exists."""
         process = self.processes.get(to)
         if process is not None:
             self.deliver(process, MessageReceived(sender, message))
@@ -257,12 +269,14 @@
         event: ProposeCommand | ReadIndexRequest | ChangeMembership,
         process: SimulatedProcess,
     ) -> str:
+        """Start an operation at a process and return its token."""
         acknowledged_index = max(self.acknowledged.values(), default=0)
         self.open_calls[event.token] = OpenCall(kind, process.member_id, acknowledged_index)
         self.deliver(process, event)
         return event.token
 
     def record_answer(self, process: SimulatedProcess, token: str, result: Any) -> None:
+        """Record the result of an operation, and check it against the history."""
         if token in self.answers:
             raise HistoryViolation(f"answered twice: {token}")
         self.answers[token] = result
@@ -280,7 +294,7 @@
                 raise HistoryViolation(f"stale read: {reader} has not seen {call.acknowledged_index}")
 
     def crash(self, process: SimulatedProcess) -> None:
-        """What is not on the disk is lost; the first of the open writes may be there."""
+        """Crash a process: writes not yet on the disk are lost, except perhaps the first."""
         if process.open_writes and self.rng.random() < 0.5:
             process.saved = apply_write(process.saved, process.open_writes[0])
         process.replica, process.start_count = None, process.start_count + 1
@@ -290,29 +304,30 @@
             self.open_calls.pop(token)
 
     def unfreeze(self, process: SimulatedProcess) -> None:
-        process.frozen, waited = False, process.frozen_events
+        """Continue a frozen process with its queued events."""
+        process.frozen, queued_events = False, process.frozen_events
         process.frozen_events = []
-        for event in waited:
+        for event in queued_events:
             self.deliver(process, event)
         self.deliver(process, Tick())
 
     def leader(self) -> SimulatedProcess | None:
-        """The leader of the latest term."""
-        found = [
+        """Return the leader of the latest term, or None."""
+        leaders = [
             process
             for process in self.processes.values()
             if process.replica is not None and process.replica.leading
         ]
         return max(
-            found, key=lambda process: process.replica.current_term if process.replica else 0, default=None
+            leaders, key=lambda process: process.replica.current_term if process.replica else 0, default=None
         )
 
-    def wait_for_leader(self, beside: SimulatedProcess | None = None) -> SimulatedProcess:
-        """Run until a process other than that one leads."""
-        assert self.run(10_000.0, lambda: self.leader() not in (None, beside))
-        found = self.leader()
-        assert found is not None
-        return found
+    def wait_for_leader(self, other_than: SimulatedProcess | None = None) -> SimulatedProcess:
+        """Run until a process other than `other_than` leads, and return it."""
+        assert self.run(10_000.0, lambda: self.leader() not in (None, other_than))
+        leader = self.leader()
+        assert leader is not None
+        return leader
 
     def call_and_wait(
         self,
@@ -320,7 +335,7 @@
         process: SimulatedProcess | None = None,
         ms: float = 3000.0,
     ) -> Any:
-        """Start an operation and run until it is completed."""
+        """Start an operation, run until it is completed, and return its result."""
         token = self.call(
             CALL_KINDS[type(event)],
             event,
@@ -330,6 +345,7 @@
         return self.answers[token]
 
     def heal(self) -> None:
+        """Undo all faults."""
         self.blocked_links, self.unreliable = set(), False
         for process in self.processes.values():
             if process.frozen:
@@ -338,12 +354,12 @@
                 self.start_process(process)
 
     def check_history(self) -> None:
-        """Check that nothing acknowledged is missing, and that all state machines are equal."""
+        """Check that no acknowledged command is missing and that the state machines of all voters are equal."""
         leader = self.wait_for_leader()
         assert leader.replica is not None and leader.state_machine is not None
-        there = dict(leader.state_machine.rows)
+        commands = dict(leader.state_machine.rows)
         for token, index in self.acknowledged.items():
-            if there.get(index) != token.encode():
+            if commands.get(index) != token.encode():
                 raise HistoryViolation(f"lost: {token} at {index}")
         for who in leader.replica.config.voters:
             machine = self.processes[who].state_machine
@@ -351,23 +367,24 @@
 
 
 def replica_of(group: SimulatedGroup, who: MemberId) -> RaftNode:
+    """Return the running replica of a member."""
     replica = group.processes[who].replica
     assert replica is not None
     return replica
 
 
 def partition(group: SimulatedGroup, *parts: tuple[MemberId, ...]) -> None:
-    """Only members of one part hear each other."""
+    """Block all messages between members that are not in the same part."""
     group.blocked_links = {
-        (one, other) for part in parts for one in part for other in group.processes if other not in part
+        (member, other) for part in parts for member in part for other in group.processes if other not in part
     }
-    group.blocked_links |= {(other, one) for one, other in group.blocked_links}
+    group.blocked_links |= {(other, member) for member, other in group.blocked_links}
 
 
 def single_replica(
     saved: PersistedGroup, config: GroupConfiguration | None = None
 ) -> tuple[RaftNode, RecordingStateMachine]:
-    """One copy a/1 without a network; its founding record is stored."""
+    """Return the replica a/1 without a network, with its first records stored, and its state machine."""
     machine = RecordingStateMachine(SimulatedGroup(0, 0))
     replica = RaftNode("g", "a/1", saved, machine, TIMINGS, random.Random(1), Invariants(), 0.0, config)
     persist_writes(replica, 0.0, replica.handle(0.0, Tick()))
@@ -375,16 +392,17 @@
 
 
 def persist_writes(replica: RaftNode, now: float, effects: list[Effect]) -> list[Effect]:
-    """Answer the stores among the effects; gives what comes of it."""
+    """Confirm the writes among the effects, and return the effects that this causes."""
     return [
-        made
+        next_effect
         for effect in effects
         if isinstance(effect, PersistRecords)
-        for made in replica.handle(now, RecordsPersisted("g", effect.sequence))
+        for next_effect in replica.handle(now, RecordsPersisted("g", effect.sequence))
     ]
 
 
 def sent_messages(effects: list[Effect], kind: type[Any]) -> list[Any]:
+    """Return the sent messages of one type."""
     return [
         effect.message
         for effect in effects
--- a/tests/support/raft_storm.py
+++ b/tests/support/raft_storm.py
@@ -24,7 +24,7 @@
 class FaultStorm:
     """Random load and faults on a group.
 
-    `reuse_member_id`: a member whose disk was lost comes back under the same member id (a planted fault).
+    `reuse_member_id`: a member whose disk was lost starts again under the same member id (a planted fault).
     """
 
     def __init__(
@@ -43,23 +43,27 @@
         self.group.schedule(300.0, self.inject_fault)
         self.group.schedule(50.0, self.change_members)
 
-    def next_token(self) -> str:
+    def new_token(self) -> str:
+        """Return an unused token."""
         self.token_count += 1
         return f"c{self.token_count}"
 
     def likely_leader(self) -> SimulatedProcess:
-        """A process that believes that it leads, otherwise any that runs."""
-        up = [process for process in self.group.processes.values() if process.replica is not None]
-        believe = [
-            process for process in up if process.replica is not None and process.replica.role is Role.LEADER
+        """Return a random process that has the leader's role, otherwise any running one."""
+        running = [process for process in self.group.processes.values() if process.replica is not None]
+        in_leader_role = [
+            process
+            for process in running
+            if process.replica is not None and process.replica.role is Role.LEADER
         ]
-        return self.rng.choice(believe or up or list(self.group.processes.values()))
+        return self.rng.choice(in_leader_role or running or list(self.group.processes.values()))
 
     def call_at_random(self) -> None:
+        """Start a random operation, and schedule the next one."""
         group = self.group
         if group.now_ms < self.end_ms:
             group.schedule(self.rng.uniform(2.0, 40.0), self.call_at_random)
-        process, token = self.likely_leader(), self.next_token()
+        process, token = self.likely_leader(), self.new_token()
         if process.replica is None or (process.frozen and len(process.frozen_events) > 200):
             return
         if self.rng.random() < 0.7:
@@ -76,7 +80,7 @@
         if leader is None or leader.replica is None or leader.frozen:
             return
         if self.pending_changes:
-            change = replace(self.pending_changes[0], token=self.next_token())
+            change = replace(self.pending_changes[0], token=self.new_token())
             config, act = leader.replica.config, change.action
             if (
                 (act == MembershipAction.LEARN and change.member in config.learners)
@@ -88,12 +92,13 @@
                 group.call("change", change, leader)
                 if (
                     self.rng.random() < 0.3 and len(self.pending_changes) > 1
-                ):  # the next one at once has to be rejected
-                    group.call("change", replace(self.pending_changes[-1], token=self.next_token()), leader)
+                ):  # a second change at the same time must be rejected
+                    group.call("change", replace(self.pending_changes[-1], token=self.new_token()), leader)
         elif self.rng.random() < 0.05:
             group.deliver(leader, TransferLeadership())
 
     def inject_fault(self) -> None:
+        """Inject a random fault, and schedule the next one."""
         group, rng = self.group, self.rng
         if group.now_ms >= self.end_ms:
             return
@@ -101,7 +106,7 @@
         process = self.likely_leader() if rng.random() < 0.5 else rng.choice(list(group.processes.values()))
         kind = rng.choice(("crash", "crash", "freeze", "cut", "one way", "wipe", "wipe", "power"))
         if self.pending_changes and rng.random() < 0.5:
-            kind, process = "crash", group.leader() or process  # a change of leader while members change
+            kind, process = "crash", group.leader() or process  # crash the leader while members change
         match kind:
             case "crash":
                 self.crash(process)
@@ -113,7 +118,7 @@
             case "cut" | "one way":
                 self.block_links(both_ways=kind == "cut")
             case "wipe":
-                for delay_ms in (0.0, 100.0, 200.0, 300.0):  # until the replicas are complete
+                for delay_ms in (0.0, 100.0, 200.0, 300.0):  # several tries, as it requires complete replicas
                     group.schedule(delay_ms, lambda: self.lose_disk(process))
 
     def crash(self, process: SimulatedProcess) -> None:
@@ -129,7 +134,7 @@
             group.schedule(self.rng.uniform(10.0, 900.0), restart)
 
     def freeze(self, process: SimulatedProcess) -> None:
-        """Let a process stand still for a while."""
+        """Freeze a process for a random time."""
         group = self.group
         if not process.frozen:
             process.frozen = True
@@ -138,7 +143,7 @@
             )
 
     def block_links(self, both_ways: bool) -> None:
-        """Partition the network for a while, in one direction or both."""
+        """Partition the network for a random time, in one direction or both."""
         group, members = self.group, list(self.group.processes)
         part = self.rng.sample(members, self.rng.randint(1, len(members) // 2))
         for sender in part:
@@ -150,9 +155,9 @@
         group.schedule(self.rng.uniform(100.0, 1500.0), lambda: setattr(group, "blocked_links", set()))
 
     def lose_disk(self, process: SimulatedProcess) -> None:
-        """Lose a disk, where all other replicas are complete."""
+        """Lose a process's disk, if all replicas are complete or the member id is reused."""
         group = self.group
-        leader, most = group.leader(), max(group.acknowledged.values(), default=0)
+        leader, last_acknowledged = group.leader(), max(group.acknowledged.values(), default=0)
         if (
             group.now_ms >= self.end_ms
             or self.pending_changes
@@ -166,10 +171,14 @@
             return
         for who in leader.replica.config.voters:
             other = group.processes[who]
-            base = other.saved.snapshot.last_included_index if other.saved.snapshot is not None else 0
-            last = other.saved.entries[-1].index if other.saved.entries else base
+            snapshot_index = (
+                other.saved.snapshot.last_included_index if other.saved.snapshot is not None else 0
+            )
+            last_index = other.saved.entries[-1].index if other.saved.entries else snapshot_index
             if not self.reuse_member_id and (
-                other.replica is None or other.replica.commit_index < most or last < most
+                other.replica is None
+                or other.replica.commit_index < last_acknowledged
+                or last_index < last_acknowledged
             ):
                 return
         group.crash(process)
@@ -187,6 +196,7 @@
         ]
 
     def run(self) -> None:
+        """Run the load and the faults, heal the group, then check its history."""
         group = self.group
         group.run(self.end_ms)
         group.heal()
@@ -197,12 +207,14 @@
                 continue
             if not isinstance(
                 group.call_and_wait(
-                    ProposeCommand(self.next_token(), f"c{self.token_count}".encode()), leader
+                    ProposeCommand(self.new_token(), f"c{self.token_count}".encode()), leader
                 ),
                 ClusterError,
             ):
                 break
         else:
-            raise HistoryViolation(f"nothing more is taken: {self.pending_changes} {group.open_calls}")
+            raise HistoryViolation(
+                f"the group accepts no commands: {self.pending_changes} {group.open_calls}"
+            )
         group.run(400.0)
         group.check_history()
--- a/tests/support/rolling_restart_simulation.py
+++ b/tests/support/rolling_restart_simulation.py
@@ -1,7 +1,7 @@
-"""Five gateways that are restarted in waves, and whoever leads, with faults drawn at random.
+"""Five gateways that are restarted in waves, and their leader, with random faults.
 
-Some of what leaders propose is lost, or comes late, or twice.  The simulation knows what is true of the
-gateways, and raises InvariantViolation where a wave begins that should not, or a gateway is drained twice.
+Some of the leader's proposals are lost, late or repeated.  The simulation has the true state of the gateways, and
+raises InvariantViolation if a wave begins that should not, or a gateway is drained twice.
 """
 
 from __future__ import annotations
@@ -32,30 +32,30 @@
 ZONES = {name: "north" if n < 3 else "south" for n, name in enumerate(NAMES)}
 GROUPS = {f"G{n}": tuple(f"{NAMES[(n + k) % 5]}/1" for k in range(3)) for n in range(5)}
 RESTART_MS = 700.0  # from a process's end to the next one's start
-CATCH_UP_MS = 500.0  # from a start until the copies are complete
-EMPTY_MS = 800.0  # from a drain until nothing is open
-HELD_MS = 1500.0  # after which an operator resumes a held gateway
+CATCH_UP_MS = 500.0  # from a start until the replicas are complete
+DRAIN_MS = 800.0  # from a drain until no request is open
+RESUME_HELD_AFTER_MS = 1500.0  # when an operator resumes a held gateway
 NEVER_MS = -1.0
 NO_ANSWER = UnknownOutcome("x", "no answer")
 
 
 @dataclass
 class SimulatedGateway:
-    """A gateway as a rolling restart sees it."""
+    """A gateway's state in a rolling restart."""
 
     agent: RollingRestartAgent
     up: bool = True
     cut_off: bool = False
     frozen: bool = False
     drained: bool = False
-    since_ms: float = 0.0  # of its start, or of its last drain
+    since_ms: float = 0.0  # time of its start or its last drain
     started_ms: float = 0.0
-    restarts_ms: float = NEVER_MS  # when its supervisor starts it again
+    restarts_ms: float = NEVER_MS  # when its supervisor starts it again; NEVER_MS: it does not
     stuck: bool = False  # does not become empty
 
 
 class RollingRestartSimulation:
-    """Gateways, the replicated part, and a leader."""
+    """Gateways, the replicated state of rolling restarts, and a leader."""
 
     def __init__(self, random: Random, loss_probability: float = 0.1) -> None:
         self.random, self.loss_probability, self.invariants = random, loss_probability, Invariants()
@@ -63,23 +63,23 @@
         self.replicated = RollingRestarts(self.invariants)
         self.leader, self.leaderless_until_ms = 0, 0.0
         self.gateways = {name: SimulatedGateway(self.start_agent(name)) for name in NAMES}
-        self.late: list[tuple[float, Command]] = []  # when a proposal arrives
-        self.drains: dict[tuple[str, str], int] = {}  # of a restart's gateways
+        self.late_proposals: list[tuple[float, Command]] = []  # arrival time, command
+        self.drains: dict[tuple[str, str], int] = {}  # number of drains by restart and gateway
         self.load = {"capacity": 500.0, "demand": 300.0, "promised": 0.0}
         self.before_step: Callable[[], None] = lambda: None
 
     def start_agent(self, name: str) -> RollingRestartAgent:
-        """The agent of a gateway's next process."""
+        """Return the agent of a gateway's next process."""
         self.starts += 1
         return RollingRestartAgent(name, holder_id(f"{name}/1", "b", str(self.starts)))
 
     def caught_up(self, name: str) -> bool:
-        """Whether the gateway's copies are complete."""
+        """Return whether the gateway's replicas are complete."""
         gateway = self.gateways[name]
         return gateway.up and self.now - gateway.started_ms >= (CATCH_UP_MS if gateway.started_ms else 0.0)
 
     def view(self) -> LeaderView:
-        """What the leader sees."""
+        """Return the leader's view."""
         alive = frozenset(
             f"{name}/1"
             for name, gateway in self.gateways.items()
@@ -105,7 +105,7 @@
         )
 
     def apply(self, command: Command) -> ApplyResult:
-        """Apply a command, and check a wave that it begins against what is true."""
+        """Apply a command, and check a wave that it begins against the true state."""
         waiting = {
             (restart.name, name)
             for restart in self.replicated.restarts.values()
@@ -123,16 +123,16 @@
         return answer
 
     def check_wave(self, wave: list[tuple[str, str]]) -> None:
-        """All copies are complete, and the remaining gateways carry the load."""
+        """Raise InvariantViolation unless all replicas are complete and the remaining gateways can carry the load."""
         behind = [name for name in NAMES if not self.caught_up(name)]
         if behind:
-            raise InvariantViolation(Rule.COPIES_WHOLE, f"{wave} while {behind} are not whole")
+            raise InvariantViolation(Rule.COPIES_WHOLE, f"{wave} while {behind} have incomplete replicas")
         remaining = len(NAMES) - len(wave)
         if self.load["capacity"] * remaining / len(NAMES) < self.load["demand"] + self.load["promised"]:
             raise InvariantViolation(Rule.WAVE_KEEPS_ROOM, f"{wave} with {self.load}")
 
     def change_leader(self) -> None:
-        """The leader dies; another goes on with what is replicated."""
+        """Let the leader fail and another take over with the replicated state, 500 ms later."""
         raw = self.replicated.dump()
         self.replicated = RollingRestarts(self.invariants)
         self.replicated.load(raw)
@@ -140,7 +140,7 @@
         self.leader, self.leaderless_until_ms = (self.leader + 1) % 5, self.now + 500.0
 
     def step(self) -> None:
-        """Advance all by one step of time."""
+        """Advance the simulation by one step."""
         self.now += STEP_MS
         self.before_step()
         if self.now >= self.leaderless_until_ms:
@@ -150,19 +150,22 @@
             self.run_gateway(name, gateway)
 
     def propose(self) -> None:
-        """What the leader proposes is applied, lost, applied late, or both."""
+        """Apply each proposal of the leader at once, late, both, or not at all."""
         for command in self.replicated.leader_tasks(self.view()):
-            drawn = self.random.random()
-            if drawn >= self.loss_probability:
+            fraction = self.random.random()
+            if fraction >= self.loss_probability:
                 self.apply(command)
-            if drawn < 2 * self.loss_probability:
-                self.late.append((self.now + self.random.choice((100, 1000, 5000)), command))
+            if fraction < 2 * self.loss_probability:
+                self.late_proposals.append((self.now + self.random.choice((100, 1000, 5000)), command))
 
     def apply_late_proposals(self) -> None:
-        """A late wave whose version is still current is left out: its conditions are those of an earlier time,
-        and what is true now would be held against them."""
-        for arrival in [arrival for arrival in self.late if arrival[0] <= self.now]:
-            self.late.remove(arrival)
+        """Apply the late proposals that have arrived.
+
+        A late wave whose version is still current is dropped: its conditions are from an earlier time, and the check
+        would compare it with the present state.
+        """
+        for arrival in [arrival for arrival in self.late_proposals if arrival[0] <= self.now]:
+            self.late_proposals.remove(arrival)
             command = arrival[1]
             if (
                 not isinstance(command, StartWave)
@@ -171,7 +174,7 @@
                 self.apply(command)
 
     def run_gateway(self, name: str, gateway: SimulatedGateway) -> None:
-        """A gateway reads, reports and acts."""
+        """Run one step of a gateway: observe, call, act."""
         if not gateway.up:
             if 0 <= gateway.restarts_ms <= self.now:
                 self.gateways[name] = SimulatedGateway(
@@ -184,7 +187,7 @@
             groups_led=0,
             trimmed=True,
             drained=gateway.drained,
-            empty=self.now - gateway.since_ms >= EMPTY_MS and not gateway.stuck,
+            empty=self.now - gateway.since_ms >= DRAIN_MS and not gateway.stuck,
             copies_complete=self.caught_up(name),
         )
         self.send_calls(gateway)
@@ -192,7 +195,7 @@
             self.carry_out(name, gateway, action)
 
     def send_calls(self, gateway: SimulatedGateway) -> None:
-        """A call may be lost on its way, or its answer."""
+        """Send a gateway's calls; a call or its reply may be lost."""
         for command in gateway.agent.poll(self.now, self.now):
             if self.random.random() < self.loss_probability or gateway.cut_off:
                 gateway.agent.answered(self.now, command, NO_ANSWER)
@@ -202,13 +205,13 @@
             gateway.agent.answered(self.now, command, NO_ANSWER if lost else answer)
 
     def carry_out(self, name: str, gateway: SimulatedGateway, action: DesiredState) -> None:
-        """The gateway drains, resumes, or ends."""
+        """Carry out an action at the gateway: drain, resume or end."""
         match action:
             case DesiredState.PAUSE:
-                drained = str(gateway.agent.restart), name
-                self.drains[drained] = self.drains.get(drained, 0) + 1
-                if self.drains[drained] > 1:
-                    raise InvariantViolation(Rule.ROLL_FORWARD, f"{drained} drained twice")
+                key = str(gateway.agent.restart), name
+                self.drains[key] = self.drains.get(key, 0) + 1
+                if self.drains[key] > 1:
+                    raise InvariantViolation(Rule.ROLL_FORWARD, f"{key} drained twice")
                 gateway.drained, gateway.since_ms = True, self.now
             case DesiredState.RESUME:
                 gateway.drained = False
@@ -216,7 +219,7 @@
                 self.kill(name, RESTART_MS)
 
     def kill(self, name: str, restart_after_ms: float) -> None:
-        """The process ends; negative: its supervisor does not start it again."""
+        """End a gateway's process; with a negative time its supervisor does not start it again."""
         gateway = self.gateways[name]
         gateway.up = False
         gateway.restarts_ms = self.now + restart_after_ms if restart_after_ms >= 0 else NEVER_MS
@@ -231,12 +234,12 @@
                 gateway.restarts_ms = self.now
 
     def run_to_the_end(self) -> RollingRestart | None:
-        """Run until no restart is active, and check that no gateway is left drained; gives the last."""
+        """Run until no restart is active, check that no gateway is left drained, and return the last restart."""
         for _ in range(1200):
             if (restart := self.replicated.active) is None:
                 break
             if any(
-                gateway.phase is GatewayPhase.HELD and self.now - gateway.since_ms >= HELD_MS
+                gateway.phase is GatewayPhase.HELD and self.now - gateway.since_ms >= RESUME_HELD_AFTER_MS
                 for gateway in restart.gateways.values()
             ):
                 self.replicated.apply(self.now, ResumeGateway(id="r", restart=restart.name))
@@ -262,7 +265,7 @@
             self.replicated.apply(self.now, CancelRollingRestart(id="c", restart=restart.name))
 
     def inject_fault(self) -> None:
-        """Let anything happen that may, and some time go by."""
+        """Inject a random fault or an operator's action, then let a random time pass."""
         random = self.random
         name = random.choice(NAMES)
         gateway = self.gateways[name]
--- a/tests/support/running.py
+++ b/tests/support/running.py
@@ -1,4 +1,4 @@
-"""Running asynchronous tests: each in an event loop of its own, with a time limit."""
+"""Helpers that run each asynchronous test in its own event loop, with a time limit."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from badgeryoke.gateway.application import GatewayApplication
 from tests.support.stand_ins import connect, read_reply
 
-TEST_TIMEOUT_S = 60.0  # only so that a fault does not hang the run
+TEST_TIMEOUT_S = 60.0  # only keeps a faulty test from hanging the run
 
 
 def run_test(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test to its end; raises TimeoutError where it takes too long."""
+    """Run a test; raises TimeoutError if it takes longer than TEST_TIMEOUT_S."""
 
     async def bounded() -> None:
         await asyncio.wait_for(test(), TEST_TIMEOUT_S)
@@ -22,13 +22,13 @@
 
 
 async def until(condition: Callable[[], Any]) -> None:
-    """Wait until a condition holds, looking at each turn of the event loop."""
+    """Wait until a condition holds, checking it at each turn of the event loop."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def send_commands(app: GatewayApplication, *commands: bytes) -> list[object]:
-    """The replies to RESP commands that are sent at once, on a connection of their own."""
+    """Send RESP commands together on a new connection, and return their replies."""
     reader, writer = await connect(app.lifecycle.address)
     writer.write(b"".join(commands))
     answers = [await read_reply(reader) for _ in commands]
--- a/tests/support/samples.py
+++ b/tests/support/samples.py
@@ -34,23 +34,23 @@
     response_slack_ms=8.0,
 )
 START = 50_000.0
-A = TypeVar("A", bound=api.Action)
+ActionType = TypeVar("ActionType", bound=api.Action)
 
 
 def server(
     number: int, zone: str = "a", state: api.EndpointState = api.EndpointState.UP, started: float = 0.0
 ) -> api.Server:
-    """One entry of an endpoint list."""
+    """Return an entry of an endpoint list."""
     return api.Server(number, zone, "std", 0, state, 1.0, started)
 
 
 def gateway(servers: Iterable[api.Server] | None = None, seed: int = 1, **changes: Any) -> DecisionEngine:
-    """An engine that knows its servers; by default four warm ones in two zones."""
-    made = DecisionEngine(replace(SETTINGS, **changes), seed)
+    """Return an engine with an endpoint list; by default four warm servers in two zones."""
+    engine = DecisionEngine(replace(SETTINGS, **changes), seed)
     if servers is None:
         servers = [server(1), server(2), server(3, "b"), server(4, "b")]
-    made.handle(START, api.EndpointList(api.ListScope.CACHED, tuple(servers)))
-    return made
+    engine.handle(START, api.EndpointList(api.ListScope.CACHED, tuple(servers)))
+    return engine
 
 
 def request(
@@ -62,7 +62,7 @@
     spread: int = 2,
     remaining: float = 4000.0,
 ) -> api.Request:
-    """One client request."""
+    """Return a client request."""
     return api.Request(rid, cls, plan, customer, remaining, units, spread)
 
 
@@ -73,34 +73,36 @@
     rtt: float = 50.0,
     ended: bool | None = None,
 ) -> api.AttemptOutcome:
-    """The end of an attempt; a success ends the request."""
-    done = verdict is api.Verdict.OK if ended is None else ended
-    return api.AttemptOutcome(send.id, attempt, send.server, verdict, rtt, done)
+    """Return the outcome of an attempt; unless `ended` says otherwise, a success ends the request."""
+    ends_request = verdict is api.Verdict.OK if ended is None else ended
+    return api.AttemptOutcome(send.id, attempt, send.server, verdict, rtt, ends_request)
 
 
-def only(actions: Iterable[api.Action], kind: type[A]) -> list[A]:
-    """The actions of one kind."""
+def only(actions: Iterable[api.Action], kind: type[ActionType]) -> list[ActionType]:
+    """Return the actions of one type."""
     return [action for action in actions if isinstance(action, kind)]
 
 
 def answer(
-    made: DecisionEngine, now: float, counts: Iterable[api.AddToCounter], totals: dict[int, float]
+    engine: DecisionEngine, now: float, counts: Iterable[api.AddToCounter], totals: dict[int, float]
 ) -> list[api.Action]:
-    """Stand in for the counter: add to the totals and reply to each call, also to those that follow."""
-    out: list[api.Action] = []
-    todo = list(counts)
-    while todo:
-        count = todo.pop(0)
+    """Reply to counter calls from `totals`, also to the calls that follow from the replies."""
+    other_actions: list[api.Action] = []
+    pending = list(counts)
+    while pending:
+        count = pending.pop(0)
         totals[count.name] = totals.get(count.name, 0.0) + count.units
-        actions = made.handle(now, api.CounterReply(count.name, api.Verdict.OK, 2.0, totals[count.name]))
-        out += [action for action in actions if not isinstance(action, api.AddToCounter)]
-        todo += only(actions, api.AddToCounter)
-    return out
+        actions = engine.handle(now, api.CounterReply(count.name, api.Verdict.OK, 2.0, totals[count.name]))
+        other_actions += [action for action in actions if not isinstance(action, api.AddToCounter)]
+        pending += only(actions, api.AddToCounter)
+    return other_actions
 
 
-def admit(made: DecisionEngine, now: float, event: api.Request, totals: dict[int, float]) -> list[api.Action]:
+def admit(
+    engine: DecisionEngine, now: float, event: api.Request, totals: dict[int, float]
+) -> list[api.Action]:
     """Handle a request and reply to the counter calls it causes."""
-    actions = made.handle(now, event)
-    return [a for a in actions if not isinstance(a, api.AddToCounter)] + answer(
-        made, now, only(actions, api.AddToCounter), totals
+    actions = engine.handle(now, event)
+    return [action for action in actions if not isinstance(action, api.AddToCounter)] + answer(
+        engine, now, only(actions, api.AddToCounter), totals
     )
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -1,6 +1,6 @@
-"""Stand-ins for the parties a gateway talks to, on loopback, written from the protocol page and the RFCs.
+"""Stand-ins for a gateway's peers on loopback, written from the protocol page and the RFCs.
 
-The Diameter stand-ins put their messages together by themselves, so that a fault in the codec shows.
+The Diameter stand-ins encode their messages without the gateway's codec, so that tests detect faults of the codec.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from badgeryoke.gateway.config.model import Config, DiameterConfig
 from badgeryoke.gateway.discovery.endpoint_list import EndpointSnapshot, read_endpoint_snapshot
 
-NOW_MS = 1_790_000_000_000.0  # what the clock says where it is made to stand still
-NTP = 2_208_988_800
+NOW_MS = 1_790_000_000_000.0  # time of a fixed clock
+NTP_EPOCH_OFFSET_S = 2_208_988_800  # from 1900 to 1970
 HOST = "127.0.0.1"
 Handler = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Standin:
-    """A server on a port of its own; keeps its connections, so that it can drop or freeze them."""
+    """A server on its own port that keeps its connections, so that tests can drop or freeze them."""
 
     def __init__(self) -> None:
         self.writers: list[asyncio.StreamWriter] = []
@@ -46,6 +46,7 @@
             task.cancel()
 
     def drop(self) -> None:
+        """Reset all connections."""
         for writer in self.writers:
             writer.transport.abort()
         self.writers.clear()
@@ -62,6 +63,7 @@
         writer.close()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection; subclasses implement this."""
         raise NotImplementedError
 
 
@@ -69,7 +71,7 @@
 
 
 async def read_reply(reader: asyncio.StreamReader) -> Any:
-    """One RESP2 value; an error line comes back as its text."""
+    """Read one RESP2 value; an error line is returned as its text."""
     line = (await reader.readuntil(b"\r\n"))[:-2]
     kind, rest = line[:1], line[1:]
     if kind == b"*":
@@ -80,13 +82,14 @@
 
 
 def resp(*words: str | bytes) -> bytes:
+    """Encode a RESP2 command."""
     parts = [word.encode() if isinstance(word, str) else word for word in words]
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(p), p) for p in parts)
 
 
 @dataclass
 class RequestLedger:
-    """What all servers of a run know together: the units that reached them, and the keys seen."""
+    """What the servers of a run have received: units by customer, and idempotency keys."""
 
     units: Tally[int] = field(default_factory=Tally)
     keys: set[str] = field(default_factory=set)
@@ -94,6 +97,7 @@
     arrived: asyncio.Event = field(default_factory=asyncio.Event)
 
     def record(self, customer: int, units: int, key: str) -> None:
+        """Record a request; one with a known idempotency key counts as a duplicate."""
         self.units[customer] += units
         if key and key in self.keys:
             self.duplicate_count += 1
@@ -103,16 +107,17 @@
 
 
 class Backend(Standin):
-    """A RESP2 backend; what it answers next can be laid out beforehand, else each command is served."""
+    """A RESP2 backend; replies come from `script`, then each command is served."""
 
     def __init__(self, ledger: RequestLedger | None = None, script: list[bytes | None] | None = None) -> None:
         super().__init__()
         self.ledger = ledger or RequestLedger()
-        self.script = list(script or [])  # None: no answer
+        self.script = list(script or [])  # None: no reply
         self.commands: list[list[bytes]] = []
-        self.ended = asyncio.Event()  # a connection was ended by the gateway
+        self.ended = asyncio.Event()  # set when the gateway closes a connection
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Reply to the commands of one connection."""
         try:
             while True:
                 command = await read_reply(reader)
@@ -137,7 +142,7 @@
 
 
 class Counter(Standin):
-    """The counter; while held, it takes calls and answers them later."""
+    """The counter; while `may_answer` is cleared, it counts calls and delays their replies."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -148,8 +153,9 @@
         self.answer: Callable[[bytes], bytes] = lambda total: b"$%d\r\n%b\r\n" % (len(total), total)
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Count the calls of one connection and reply to them."""
         while True:
-            verb, name, amount, _life = await read_reply(reader)
+            verb, name, amount, _expire_ms = await read_reply(reader)
             assert verb == b"INCRTTL" and 1 <= len(name) <= 64
             self.calls += 1
             self.totals[name.decode()] += float(amount)  # type: ignore[assignment]
@@ -159,11 +165,12 @@
 
     @property
     def units(self) -> float:
+        """The sum of all totals."""
         return sum(self.totals.values())
 
 
 class Discovery(Standin):
-    """Discovery's agent: the whole list, and watches that wait for a change."""
+    """A discovery agent: sends the complete list, and answers long polls at a change."""
 
     def __init__(self, *servers: dict[str, Any]) -> None:
         super().__init__()
@@ -171,20 +178,22 @@
         self.changes: list[dict[str, Any]] = []
         self.changed = asyncio.Event()
         self.calls: list[str] = []
-        self.raw: list[bytes] = []  # bodies to answer with in place of the list
+        self.raw: list[bytes] = []  # response bodies to send instead of the list
 
     def change(self, entry: dict[str, Any]) -> None:
+        """Publish a change to the waiting poll."""
         self.version += 1
         self.changes = [entry]
         self.changed.set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the polls of one connection."""
         while True:
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             path = head.split(" ")[1]
             self.calls.append(path)
-            watch = "after=" in path
-            if watch and not self.raw:
+            is_long_poll = "after=" in path
+            if is_long_poll and not self.raw:
                 await self.changed.wait()
                 self.changed.clear()
             body = (
@@ -193,8 +202,8 @@
                 else json.dumps(
                     {
                         "version": self.version,
-                        "full": not watch,
-                        "servers": self.changes if watch else self.servers,
+                        "full": not is_long_poll,
+                        "servers": self.changes if is_long_poll else self.servers,
                     }
                 ).encode()
             )
@@ -202,6 +211,7 @@
 
 
 def entry(name: str, port: int, state: str = "active", kind: str = "std") -> dict[str, Any]:
+    """Return an endpoint as the discovery agent lists it."""
     return {
         "id": name,
         "addr": f"{HOST}:{port}",
@@ -218,7 +228,7 @@
 
 
 def avp(code: int, data: bytes | str | int, flags: int = 0x40, vendor: int = 0) -> bytes:
-    """RFC 6733, 4.1; a number is an Unsigned32."""
+    """Encode an AVP (RFC 6733, 4.1); a number is an Unsigned32."""
     if isinstance(data, int):
         data = struct.pack(">I", data)
     raw = data.encode() if isinstance(data, str) else data
@@ -233,24 +243,25 @@
 
 
 def message(flags: int, command: int, app: int, hop: int, end: int, body: bytes) -> bytes:
-    """RFC 6733, 3."""
+    """Encode a message (RFC 6733, 3)."""
     return struct.pack(">IIIII", 1 << 24 | (20 + len(body)), flags << 24 | command, app, hop, end) + body
 
 
 def avps(body: bytes) -> dict[int, bytes]:
-    found: dict[int, bytes] = {}
+    """Return the data of the AVPs by code; of several with one code, the first."""
+    values: dict[int, bytes] = {}
     at = 0
     while at < len(body):
         code, word = struct.unpack_from(">II", body, at)
         head, length = (12 if word >> 31 else 8), word & 0xFFFFFF
-        found.setdefault(code, body[at + head : at + length])
+        values.setdefault(code, body[at + head : at + length])
         at += length + (-length % 4)
-    return found
+    return values
 
 
 @dataclass
 class ReceivedMessage:
-    """A message as it came."""
+    """A received message."""
 
     flags: int
     command: int
@@ -260,10 +271,12 @@
 
     @property
     def result(self) -> int:
+        """The Result-Code."""
         return struct.unpack(">I", self.avps[268])[0]  # type: ignore[no-any-return]
 
 
 async def read_message(reader: asyncio.StreamReader) -> ReceivedMessage:
+    """Read one Diameter message."""
     head = await reader.readexactly(20)
     first, second, _app, hop, end = struct.unpack(">IIIII", head)
     body = await reader.readexactly((first & 0xFFFFFF) - 20)
@@ -271,6 +284,7 @@
 
 
 def cer(host: str = "pos.example", app: int = 4, hop: int = 1) -> bytes:
+    """Encode a Capabilities-Exchange-Request."""
     return message(
         0x80,
         257,
@@ -301,7 +315,7 @@
     host: str = "pos.example",
     realm: str = "yoke.example",
 ) -> bytes:
-    """RFC 8506, 3.1: an event-based request."""
+    """Encode an event-based Credit-Control-Request (RFC 8506, 3.1)."""
     parts = {
         263: avp(263, session or f"pos.example;1;{end}"),
         264: avp(264, host),
@@ -321,49 +335,53 @@
 
 
 def event_time(ms: float) -> bytes:
-    return avp(55, int(ms / 1000) + NTP)
+    """Encode an Event-Timestamp AVP for a Unix time in ms."""
+    return avp(55, int(ms / 1000) + NTP_EPOCH_OFFSET_S)
 
 
 class DiameterServer(Standin):
-    """A credit-control server; Result-Codes to answer with can be laid out beforehand."""
+    """A credit-control server; its Result-Codes come from `script`, then 2001.  None: no answer."""
 
     def __init__(self, ledger: RequestLedger | None = None, script: list[int | None] | None = None) -> None:
         super().__init__()
         self.ledger = ledger or RequestLedger()
         self.script = list(script or [])
         self.received: list[ReceivedMessage] = []
-        self.disconnect_requested = asyncio.Event()  # a DPR has come
+        self.disconnect_requested = asyncio.Event()  # set when a DPR arrives
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Answer the requests of one connection."""
         base = avp(264, "node.example") + avp(296, "yoke.example")
         while True:
-            got = await read_message(reader)
-            if got.command == 272:
-                self.received.append(got)
-                customer = int(avps(got.avps[443])[444], 16)
-                units = struct.unpack(">Q", avps(got.avps[437])[417])[0]
-                keyed = got.avps[436] == b"\0\0\0\0"
-                self.ledger.record(customer, units, got.avps[263].decode().split(";")[-1] if keyed else "")
+            request = await read_message(reader)
+            if request.command == 272:
+                self.received.append(request)
+                customer = int(avps(request.avps[443])[444], 16)
+                units = struct.unpack(">Q", avps(request.avps[437])[417])[0]
+                keyed = request.avps[436] == b"\0\0\0\0"
+                self.ledger.record(
+                    customer, units, request.avps[263].decode().split(";")[-1] if keyed else ""
+                )
                 result = self.script.pop(0) if self.script else 2001
                 if result is None:
                     continue
                 body = (
-                    avp(263, got.avps[263])
+                    avp(263, request.avps[263])
                     + avp(268, result)
                     + base
                     + avp(258, 4)
                     + avp(416, 4)
-                    + avp(415, got.avps[415])
+                    + avp(415, request.avps[415])
                     + avp(431, avp(417, struct.pack(">Q", units)))
                     + avp(440, avp(441, 1) + avp(442, "value"))
                 )
                 flags = 0x60 if 3000 <= result < 4000 else 0x40
             else:
-                if got.command == 282:
+                if request.command == 282:
                     self.disconnect_requested.set()
-                body, flags = avp(268, 2001) + base + (avp(258, 4) if got.command == 257 else b""), 0
-            app = 4 if got.command == 272 else 0
-            writer.write(message(flags, got.command, app, got.hop, got.end, body))
+                body, flags = avp(268, 2001) + base + (avp(258, 4) if request.command == 257 else b""), 0
+            app = 4 if request.command == 272 else 0
+            writer.write(message(flags, request.command, app, request.hop, request.end, body))
 
 
 # A gateway --------------------------------------------------------------------------------------------
@@ -375,8 +393,8 @@
 
 
 def settings(index: int = 0, **changes: Any) -> api.Settings:
-    """Settings under which a decision depends on nothing that a busy machine could change."""
-    given: dict[str, Any] = {
+    """Return settings under which no decision depends on how busy the machine is."""
+    fields: dict[str, Any] = {
         "gateway_index": index,
         "gateway_count": 2,
         "zone": "a",
@@ -394,7 +412,7 @@
         "can_cancel": True,
         "slow_start_ms": 0.0,
     }
-    return api.Settings(**{**given, **changes})
+    return api.Settings(**{**fields, **changes})
 
 
 def config(
@@ -405,8 +423,9 @@
     index: int = 0,
     **changes: Any,
 ) -> Config:
+    """Return a gateway configuration for the ports of a discovery agent and a counter."""
     plans = {1: "dealer", 2: "small", 3: "free"}
-    second = DiameterConfig(
+    diameter_config = DiameterConfig(
         (HOST, 0),
         f"gw{index}.yoke.example",
         "yoke.example",
@@ -431,22 +450,23 @@
         connect_ms=5000.0,
         idle_ms=30_000.0,
         drain_s=0.0,
-        diameter=second if diameter else None,
+        diameter=diameter_config if diameter else None,
     )
 
 
 def endpoint_snapshot(*servers: dict[str, Any]) -> EndpointSnapshot:
+    """Return a snapshot of a complete endpoint list."""
     return read_endpoint_snapshot({"version": 1, "full": True, "servers": list(servers)})
 
 
 @contextlib.asynccontextmanager
 async def gateway(
-    made: Config, clock: Callable[[], float] = lambda: NOW_MS
+    gateway_config: Config, clock: Callable[[], float] = lambda: NOW_MS
 ) -> AsyncIterator[GatewayApplication]:
-    """A gateway that is ready, and is ended in order."""
-    app = GatewayApplication(made, clock)
+    """Run a gateway: yields it once it is ready, and shuts it down gracefully at the end."""
+    app = GatewayApplication(gateway_config, clock)
     app.start()
-    while made.known is not None and not app.parts.discovery.ready:
+    while gateway_config.known is not None and not app.parts.discovery.ready:
         await asyncio.sleep(0)
     try:
         yield app
@@ -459,15 +479,16 @@
 async def one_gateway(
     *, script: Any = None, kind: str = "std", counter: int | None = None, diameter: bool = False
 ) -> AsyncIterator[tuple[GatewayApplication, Any, Discovery]]:
-    """A gateway before one server of the kind."""
-    made = DiameterServer(script=script) if kind == "diameter" else Backend(script=script)
-    async with made as node, Discovery(entry("a", node.port, kind=kind)) as list_:
-        known = endpoint_snapshot(entry("a", node.port, kind=kind))
-        async with gateway(config(list_.port, counter, known, diameter)) as app:
-            yield app, node, list_
+    """Run a gateway in front of one server of the kind; yields gateway, server and discovery agent."""
+    stand_in = DiameterServer(script=script) if kind == "diameter" else Backend(script=script)
+    async with stand_in as server, Discovery(entry("a", server.port, kind=kind)) as agent:
+        known = endpoint_snapshot(entry("a", server.port, kind=kind))
+        async with gateway(config(agent.port, counter, known, diameter)) as app:
+            yield app, server, agent
 
 
 async def connect(address: tuple[str, int]) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+    """Open a connection to an address."""
     return await asyncio.open_connection(*address[:2])
 
 
@@ -481,6 +502,7 @@
     d: int = 60_000,
     body: str | None = None,
 ) -> bytes:
+    """Encode a request as a RESP2 command; with a key it is SVC.SUBMIT."""
     listed = f"c={cls},t={plan},d={d}{',k=' + key if key else ''},units={units},spread=2,first=0"
     words = ["SVC.SUBMIT" if key else "SVC.QUERY", f"{customer:016x}", rid, listed]
     return resp(*words, *([body] if body is not None else []))
--- a/tests/support/storage.py
+++ b/tests/support/storage.py
@@ -1,4 +1,4 @@
-"""Records and stores for tests of a member's stable storage."""
+"""Sample records and stores for tests of a member's stable storage."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 def entry(index: int, term: int = 1, size: int = 40) -> LogEntry:
-    """A log entry whose body tells its index."""
+    """Return a log entry whose body repeats its index."""
     return LogEntry(index, term, EntryKind.COMMAND, bytes([index % 256]) * size)
 
 
 def entries(first: int, last: int, term: int = 1, size: int = 40) -> Entries:
-    """A run of log entries, both ends included."""
+    """Return consecutive log entries from `first` to `last`, inclusive."""
     return Entries(tuple(entry(index, term, size) for index in range(first, last + 1)))
 
 
 def open_existing(
     directory: Path, member: str = "a", cluster: str = "f", incarnation: str = "1"
 ) -> ClusterStorage:
-    """An open store; one that is made anew gets the incarnation."""
+    """Open a store; a newly created one gets the incarnation."""
     opened = open_storage(directory, cluster, member, new_incarnation=lambda: incarnation)
     assert isinstance(opened, ClusterStorage), opened
     return opened
@@ -34,6 +34,6 @@
 
 
 def reopened(storage: ClusterStorage, incarnation: str = "2") -> ClusterStorage:
-    """The same store, closed and opened again."""
+    """Close a store and return it opened again."""
     storage.close()
     return open_existing(storage.directory, incarnation=incarnation)
--- a/tests/support/transport.py
+++ b/tests/support/transport.py
@@ -1,4 +1,4 @@
-"""Members of a cluster on loopback, for tests of the connections between them."""
+"""Cluster members on loopback, for tests of the connections between them."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 
 def append_entries(size: int = 1000, index: int = 1) -> AppendEntries:
-    """A message with one entry of that size."""
+    """Return a message with one entry of `size` bytes."""
     return AppendEntries("g", 1, index - 1, 1, (LogEntry(index, 1, EntryKind.COMMAND, b"x" * size),), 0, 0)
 
 
 class TransportEndpoint:
-    """One member's transport, and what it has received and reported."""
+    """A member's transport, with the messages and errors that it has reported."""
 
     def __init__(
         self,
@@ -55,7 +55,7 @@
         self.listening = listening or socket.create_server((HOST, 0))
         self.port = self.listening.getsockname()[1]
         self.received: list[tuple[str, AnyMessage]] = []
-        self.frame_sizes: list[int] = []  # messages of each frame received
+        self.frame_sizes: list[int] = []  # number of messages in each received frame
         self.errors: list[errors.ClusterError] = []
         self.transport = ClusterTransport(
             cluster,
@@ -73,7 +73,7 @@
         self.received.extend((sender, message) for message in messages)
 
     def error_codes(self) -> list[str]:
-        """Of the errors reported, in order."""
+        """Return the codes of the reported errors, in order."""
         return [error.code for error in self.errors]
 
 
@@ -81,26 +81,26 @@
 async def connected_pair(
     limits: TransportLimits = SHORT_TIMEOUTS,
 ) -> AsyncIterator[tuple[TransportEndpoint, TransportEndpoint]]:
-    """Members `a/1`, with those limits, and `b/1`, which know each other's addresses."""
-    there = TransportEndpoint("b/1", a=1)
-    here = TransportEndpoint("a/1", limits=limits, b=there.port)
-    there.transport.peers["a"].address = HOST, here.port
+    """Yield the members `a/1`, with `limits`, and `b/1`, each with the other's address."""
+    second = TransportEndpoint("b/1", a=1)
+    first = TransportEndpoint("a/1", limits=limits, b=second.port)
+    second.transport.peers["a"].address = HOST, first.port
     try:
-        yield here, there
+        yield first, second
     finally:
-        here.transport.close()
-        there.transport.close()
+        first.transport.close()
+        second.transport.close()
 
 
 def run_with_timeout(
     test: Callable[[], Coroutine[object, object, None]], timeout_s: float = TEST_TIMEOUT_S
 ) -> None:
-    """Run a test that may wait for what never comes."""
+    """Run a test; raises TimeoutError if it does not end in time."""
     asyncio.run(asyncio.wait_for(test(), timeout_s))
 
 
 class UnresponsivePeer:
-    """Accepts connections and answers the handshake alone; reads nothing, or reads all."""
+    """Accepts connections and answers only the handshake; reads everything or nothing."""
 
     def __init__(self, reads: bool) -> None:
         self.reads, self.connections = reads, 0
--- a/tests/support/virtual_time.py
+++ b/tests/support/virtual_time.py
@@ -8,12 +8,12 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-SETTLE_S = 0.0001  # of real time: loopback delivers a write before the write call is over
-TEST_TIMEOUT_S = 600.0  # of virtual time
+SETTLE_S = 0.0001  # real time; loopback delivers a write before the write call returns
+TEST_TIMEOUT_S = 600.0  # virtual time
 
 
 class VirtualTimeLoop(asyncio.SelectorEventLoop):
-    """Where no socket has anything to report, the clock jumps to the next timer."""
+    """An event loop whose clock jumps to the next timer when no socket is ready."""
 
     def __init__(self) -> None:
         self.passed_s = 0.0
@@ -32,15 +32,16 @@
         selector.select = select
 
     def time(self) -> float:
+        """Return the virtual time in seconds."""
         return self.passed_s
 
 
 def run_in_virtual_time(test: Callable[[], Awaitable[None]]) -> None:
-    """Run a test to its end; raises TimeoutError where it takes too long."""
+    """Run a test; raises TimeoutError if it takes longer than TEST_TIMEOUT_S of virtual time."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         runner.run(asyncio.wait_for(test(), TEST_TIMEOUT_S))
 
 
 def max_in_window(times: list[float], window: float) -> int:
-    """The most of these moments that lie in any window of that length."""
+    """Return the largest number of times that lie in any window of that length."""
     return max((sum(at <= other < at + window for other in times) for at in times), default=0)
