--- a/badgeryoke/cluster/key_value.py
+++ b/badgeryoke/cluster/key_value.py
@@ -65,7 +65,7 @@
         freed_bytes = 0 if previous is None else entry_bytes(command.name, previous)
         added_bytes = entry_bytes(command.name, command.value) - freed_bytes
         if added_bytes > 0 and self._stored_bytes + added_bytes > MAX_BYTES:
-            detail = f"this group stores at most {MAX_BYTES} bytes"
+            detail = f"{MAX_BYTES} bytes are kept in this group at the most"
             return ApplyResult(error=Overloaded(command.name, detail))
         self._values[command.name] = command.value
         self._stored_bytes += added_bytes
