--- a/badgeryoke/cluster/leader_duties.py
+++ b/badgeryoke/cluster/leader_duties.py
@@ -47,10 +47,10 @@
         if replica.group == FLEET:
             parts = self._host.state_machines[FLEET].parts
             placement = parts["placing"]
-            promised = parts["contracts"].peak_reserved_rate(
+            reserved_rate = parts["contracts"].peak_reserved_rate(
                 wall, wall + parts["rolls"].planning_horizon_ms()
             )
-            load = {**load, "promised": promised}
+            load = {**load, "promised": reserved_rate}
         lagging = {group: placed.lagging for group, placed in placement.groups.items() if placed.lagging}
         for group, local in self._host.replicas.items():
             if local.leading:
@@ -72,7 +72,7 @@
     def _alive_and_heard(self) -> frozenset[MemberId]:
         """Alive members from which this process has received a message, and this member itself.
 
-        Right after a start that is this member alone, whatever gossip says.
+        Right after a start only this member itself counts, whatever gossip reports.
         """
         return frozenset(
             member
@@ -106,15 +106,15 @@
         """Commands for servers of the group whose stored connection limit differs from this gateway's."""
         assert self._host.record is not None
         group_count = self._host.record.group_count
-        known = state_machine.parts["connections"].servers
+        known_servers = state_machine.parts["connections"].servers
         commands: list[Command] = []
         for server, limit in connection_limits.items():
-            is_known = server in known
-            if is_known and known[server].pool.capacity == limit:
+            is_known = server in known_servers
+            if is_known and known_servers[server].pool.capacity == limit:
                 continue
             if group_for_key(server_bucket(server), group_count) != group:
                 continue
-            known_limit = known[server].pool.capacity if is_known else 0
+            known_limit = known_servers[server].pool.capacity if is_known else 0
             commands.append(
                 SetConnectionLimit(
                     id=f"limit/{server}/{limit}/{known_limit:g}/{state_machine.index}",
--- a/badgeryoke/cluster/replica_host.py
+++ b/badgeryoke/cluster/replica_host.py
@@ -41,12 +41,12 @@
         self,
         setup: NodeSetup,
         saved: dict[str, PersistedGroup],
-        draw: Random,
-        rules: Invariants,
+        rng: Random,
+        invariants: Invariants,
         timers: NodeTimers,
     ) -> None:
         self._member_id, self._timings = setup.member_id, setup.timings
-        self._saved, self._draw, self._rules, self._timers = saved, draw, rules, timers
+        self._saved, self._rng, self._invariants, self._timers = saved, rng, invariants, timers
         self.record: BootstrapRecord | None = None
         self.replicas: dict[str, RaftNode] = {}
         self.state_machines: dict[str, GroupStateMachine] = {}
@@ -54,7 +54,7 @@
         self._initial_voters: dict[str, tuple[MemberId, ...]] = {}
         self.is_leaving = False  # a graceful shutdown is in progress
         self._handlers: dict[str, CompletionHandler] = {}  # by token
-        self._rolling_restart = "", 0  # name and version of the active one when last checked
+        self._rolling_restart = "", 0  # name and version of the active rolling restart when last checked
 
     def open(self, now: float, record: BootstrapRecord) -> None:
         """Create the replicas that are stored, or initially placed, on this member, once the cluster is bootstrapped."""
@@ -77,7 +77,7 @@
         return replica
 
     def _make_replica(self, now: float, group: str) -> RaftNode:
-        state_machine = self.state_machines[group] = GroupStateMachine(group, self._timings, self._rules)
+        state_machine = self.state_machines[group] = GroupStateMachine(group, self._timings, self._invariants)
         if group == FLEET:
             assert self.record is not None
             state_machine.parts["placing"].initialize(self.record)
@@ -91,8 +91,8 @@
             saved,
             state_machine,
             self._timings,
-            self._draw,
-            self._rules,
+            self._rng,
+            self._invariants,
             now,
             config,
         )
@@ -109,7 +109,7 @@
     def feed(self, now: float, group: str, event: ReplicaEvent) -> list[Effect]:
         """Pass an event to a replica; completed operations go to their handlers, other effects are returned."""
         replica = self.replicas[group]
-        broken_before = self._rules.count
+        broken_before = self._invariants.count
         effects: list[Effect] = []
         for effect in replica.handle(now, event):
             if isinstance(effect, OperationCompleted):
@@ -119,19 +119,19 @@
         self._timers.bring_forward(replica.due_ms)  # if it has moved later instead, the earlier Tick is idle
         if group == FLEET and replica.leading:
             self._check_rolling_restart(now)
-        if self._rules.count != broken_before and not isinstance(event, StorageFailure):
+        if self._invariants.count != broken_before and not isinstance(event, StorageFailure):
             effects += self._stop_replica(now, group)
         return effects
 
     def _stop_replica(self, now: float, group: str) -> list[Effect]:
         """Stop a replica that violated an invariant: it acknowledges nothing any more."""
-        rule, facts = self._rules.broken[-1]
+        rule, facts = self._invariants.broken[-1]
         error = InvariantBroken(group, f"{rule.name}: {facts}")
         event = LogEvent("error", "invariant broken", {"group": group, "error": str(error)})
         return [event, *self.feed(now, group, StorageFailure(error))]
 
     def _check_rolling_restart(self, now: float) -> None:
-        """After progress of a rolling restart run the leader tasks at once, not at the next heartbeat."""
+        """Run the leader tasks at once after progress of a rolling restart, not at the next heartbeat."""
         active = self.state_machines[FLEET].parts["rolls"].active
         if active is not None and (active.name, active.version) != self._rolling_restart:
             self._rolling_restart = active.name, active.version
--- a/badgeryoke/decisions/counter_health/reply_monitor.py
+++ b/badgeryoke/decisions/counter_health/reply_monitor.py
@@ -10,8 +10,8 @@
 UNREACHABLE_MS = 400.0
 UNREACHABLE_MIN_FAILURES = 3
 UNRESPONSIVE_MS = 1500.0  # without a reply for this long, the counter is dead even if it accepts connections
-SLOW_DELAY_FRACTION = 0.25  # of the timeout: the counter is slow where the mean delay exceeds this
-RECOVERED_DELAY_FRACTION = 0.12  # of the timeout: a slow counter has recovered at this mean delay
+SLOW_DELAY_FRACTION = 0.25  # fraction of the timeout: the counter is slow where the mean delay exceeds this
+RECOVERED_DELAY_FRACTION = 0.12  # fraction of the timeout: a slow counter has recovered at this mean delay
 DELAY_GAIN = 0.2  # EWMA weight of one reply in the mean delay
 
 
@@ -24,7 +24,7 @@
         self.is_slow = False
         self._failure_count = 0
         self._refused_count = 0
-        self._mean_delay = 0.0  # as a fraction of the timeout
+        self._mean_delay = 0.0  # EWMA of the delay, as a fraction of the timeout
 
     def record(self, now: float, succeeded: bool, rtt_ms: float, connect_failed: bool) -> None:
         """Process the outcome of one call.  A refused connection does not show the counter's speed."""
--- a/badgeryoke/testbed/commands.py
+++ b/badgeryoke/testbed/commands.py
@@ -17,30 +17,31 @@
 from rich.progress import Progress
 from rich.table import Table
 
-from badgeryoke.testbed.report.cluster_figures import FleetFigures, spread
-from badgeryoke.testbed.report.result import Result, within_stated
+from badgeryoke.testbed.report.cluster_figures import FleetFigures, worst_and_median
+from badgeryoke.testbed.report.result import Result, within_error_bounds
 from badgeryoke.testbed.report.write import compare_folders, write_folder
 from badgeryoke.testbed.scenario.model import Scenario
 from badgeryoke.testbed.scenario.parser import load, shipped
 from badgeryoke.testbed.scenario.sexpr import TextError
 from badgeryoke.testbed.simulation.world import play
 
-BAD, UNUSABLE, FAILED = 1, 2, 4
-KEYS = ("beyond_share", "sent_of_allowed", "ceiling_excess", "detect_ms")
+# Exit codes.
+VIOLATION, UNUSABLE, FAILED = 1, 2, 4
+SUMMARY_FIGURES = ("beyond_share", "sent_of_allowed", "ceiling_excess", "detect_ms")
 
 
 def _load(name: str) -> tuple[Scenario, str]:
-    """A scenario, or the end of the command with its fault."""
+    """Load a scenario and its text; exits with an error message if that fails."""
     try:
         return load(name)
-    except TextError as fault:
-        click.echo(f"{name}: {fault}", err=True)
+    except TextError as error:
+        click.echo(f"{name}: {error}", err=True)
     except OSError:
         click.echo(f"{name}: no such scenario or file; see `badgeryoke lab list`", err=True)
     sys.exit(UNUSABLE)
 
 
-def _json(value: object) -> None:
+def _print_json(value: object) -> None:
     click.echo(json.dumps(value, sort_keys=True))
 
 
@@ -67,7 +68,7 @@
     """
     found = [(name, load(name)[0].about) for name in shipped()]
     if as_json:
-        _json([{"name": name, "about": about} for name, about in found])
+        _print_json([{"name": name, "about": about} for name, about in found])
         return
     table = Table(box=None)
     table.add_column("scenario", no_wrap=True)
@@ -79,7 +80,7 @@
 
 @lab.command()
 @click.argument("scenario")
-@click.option("--seed", default=1, show_default=True, help="Of the clients' and servers' chance.")
+@click.option("--seed", default=1, show_default=True, help="Seed of all random draws.")
 @click.option("--watch/--no-watch", default=None, help="Switch the watch over the counter on or off.")
 @click.option("--to", type=click.Path(path_type=Path), help="Folder for figures, events and the report.")
 @click.option("--json", "as_json", is_flag=True, help="The figures as one JSON document.")
@@ -87,43 +88,43 @@
     """Play SCENARIO (a shipped name or a file) on sockets, with real gateway processes.
 
     It takes the scenario's length in real time, and some seconds more.  Exit code 1 where a ceiling was
-    broken, the stated error passed, or something that the fleet promised does not hold.
+    broken, the stated error was exceeded, or a guarantee of the fleet was violated.
 
     \b
     Example:
         badgeryoke lab run counter-split --to results/split --json
     """
-    from badgeryoke.testbed.emulator.cluster import unplayable
-    from badgeryoke.testbed.emulator.run import Stage
+    from badgeryoke.testbed.emulator.cluster import unsupported_reason
+    from badgeryoke.testbed.emulator.run import EmulatedRun
 
-    text, source = _load(scenario)
-    if why_not := unplayable(text):
-        click.echo(f"{scenario}: {why_not}", err=True)
+    parsed, source = _load(scenario)
+    if problem := unsupported_reason(parsed):
+        click.echo(f"{scenario}: {problem}", err=True)
         sys.exit(UNUSABLE)
     if watch is not None:
-        text = replace(text, watch=watch)
+        parsed = replace(parsed, watch=watch)
     with Progress(console=Console(stderr=True), transient=True, disable=as_json) as progress:
-        task = progress.add_task(text.name, total=text.length_ms)
+        task = progress.add_task(parsed.name, total=parsed.length_ms)
 
-        def show(event: dict[str, Any]) -> None:
+        def on_event(event: dict[str, Any]) -> None:
             progress.update(task, completed=event["at_ms"])
 
-        stage = Stage(text, seed, to / "gateways" if to else None, show)
+        stage = EmulatedRun(parsed, seed, to / "gateways" if to else None, on_event)
         try:
             result = asyncio.run(stage.play())
-        except (RuntimeError, OSError) as fault:
-            click.echo(f"{scenario}: {fault}", err=True)
+        except (RuntimeError, OSError) as error:
+            click.echo(f"{scenario}: {error}", err=True)
             sys.exit(FAILED)
-    fleet = stage.fleet_figures()
-    figures = {**result.figures(), **stage.extra_figures(), **fleet.plain(), "kind": "sockets"}
+    fleet = stage.cluster_figures()
+    figures = {**result.figures(), **stage.extra_figures(), **fleet.to_dict(), "kind": "sockets"}
     if to is not None:
-        write_folder(to, text, source, [result], figures, stage.events)
-    _show(figures, within_stated(result) and not fleet.bad(), as_json, to)
+        write_folder(to, parsed, source, [result], figures, stage.events)
+    _print_figures(figures, within_error_bounds(result) and not fleet.violations(), as_json, to)
 
 
-def _show(figures: dict[str, Any], good: bool, as_json: bool, to: Path | None) -> None:
+def _print_figures(figures: dict[str, Any], passed: bool, as_json: bool, to: Path | None) -> None:
     if as_json:
-        _json(figures)
+        _print_json(figures)
     else:
         table = Table(box=None, show_header=False)
         for key in (
@@ -144,23 +145,25 @@
         Console().print(table)
         if to is not None:
             click.echo(f"report: {to / 'report.html'}")
-    sys.exit(0 if good else BAD)
+    sys.exit(0 if passed else VIOLATION)
 
 
-def _one(job: tuple[Scenario, int]) -> tuple[Result, FleetFigures]:
-    """One seed, of the decisions on requests and of what gateways share."""
-    text, seed = job
-    if not text.fleet:
-        return play(text, seed), FleetFigures()
+def _run_seed(job: tuple[Scenario, int]) -> tuple[Result, FleetFigures]:
+    """Run one seed: the decisions on requests and, for a cluster, the simulation of its members."""
+    parsed, seed = job
+    if not parsed.fleet:
+        return play(parsed, seed), FleetFigures()
     from badgeryoke.testbed.cluster_simulation.generated_plans import play_scenario
 
-    return play(text, seed), play_scenario(text, seed)
+    return play(parsed, seed), play_scenario(parsed, seed)
 
 
 @lab.command()
 @click.argument("scenario")
 @click.option("--seeds", default=1, show_default=True, type=click.IntRange(1, 100_000))
-@click.option("--gateways", type=click.IntRange(1, 200), help="Another number than the scenario's.")
+@click.option(
+    "--gateways", type=click.IntRange(1, 200), help="Number of gateways, in place of the scenario's."
+)
 @click.option("--watch/--no-watch", default=None, help="Switch the watch over the counter on or off.")
 @click.option("--to", type=click.Path(path_type=Path), help="Folder for figures, events and the report.")
 @click.option("--json", "as_json", is_flag=True, help="One JSON document.")
@@ -176,50 +179,50 @@
 ) -> None:
     """Play SCENARIO in simulated time against the decision code, once for each seed.
 
-    The same scenario and seed give the same bytes.  Exit code 1 where a ceiling was broken, the stated
-    error passed, or something that the fleet promised does not hold, with any seed.
+    The same scenario and seed give the same output.  Exit code 1 where a ceiling was broken, the stated
+    error was exceeded, or a guarantee of the fleet was violated, with any seed.
 
     \b
     Example:
         badgeryoke lab sim counter-split --seeds 100
     """
-    text, source = _load(scenario)
+    parsed, source = _load(scenario)
     if watch is not None:
-        text = replace(text, watch=watch)
+        parsed = replace(parsed, watch=watch)
     if gateways is not None:
-        text = resize(text, gateways)
+        parsed = resize(parsed, gateways)
     results: list[Result] = []
     fleets: list[FleetFigures] = []
     with (
         multiprocessing.Pool(jobs or None) as pool,
         Progress(console=Console(stderr=True), transient=True, disable=as_json) as progress,
     ):
-        task = progress.add_task(text.name, total=seeds)
-        for result, fleet in pool.imap(_one, [(text, seed) for seed in range(1, seeds + 1)]):
+        task = progress.add_task(parsed.name, total=seeds)
+        for result, fleet in pool.imap(_run_seed, [(parsed, seed) for seed in range(1, seeds + 1)]):
             results.append(result)
             fleets.append(fleet)
             progress.advance(task)
-    figures = summary(text, results, fleets)
+    figures = summary(parsed, results, fleets)
     if to is not None:
         events = [
             {
-                "at_ms": shown.at_ms,
+                "at_ms": report.at_ms,
                 "event": "belief",
-                "gateway": shown.gateway + 1,
-                "belief": shown.belief,
-                "sign": shown.sign,
+                "gateway": report.gateway + 1,
+                "belief": report.state,
+                "sign": report.symptom,
             }
-            for shown in results[0].beliefs
+            for report in results[0].state_reports
         ]
-        write_folder(to, text, source, results, figures, events)
+        write_folder(to, parsed, source, results, figures, events)
     if as_json:
-        _json(figures)
+        _print_json(figures)
     else:
         table = Table(box=None)
         for column in ("", "worst", "median", "best"):
             table.add_column(column)
         for key, row in figures["spread"].items():
-            if key in KEYS or figures[key] is not None:
+            if key in SUMMARY_FIGURES or figures[key] is not None:
                 table.add_row(key, *(str(row.get(part, "")) for part in ("worst", "median", "best")))
         Console().print(table)
         click.echo(
@@ -227,45 +230,52 @@
             f"ceilings broken {figures['ceiling_broken']}, "
             f"false alarms {figures['false_alarms']}, seeds {seeds}"
         )
-    sys.exit(0 if all(map(within_stated, results)) and not any(one.bad() for one in fleets) else BAD)
+    sys.exit(
+        0
+        if all(map(within_error_bounds, results))
+        and not any(figures_of_run.violations() for figures_of_run in fleets)
+        else VIOLATION
+    )
 
 
-def resize(text: Scenario, gateways: int) -> Scenario:
-    """The scenario with another number of gateways: a split keeps the first alone, or the first third."""
-    cut = max(gateways // 3, 1)
-    groups = (tuple(range(1, cut + 1)), tuple(range(cut + 1, gateways + 1)))
-    faults = tuple(replace(fault, groups=groups) if fault.word == "split" else fault for fault in text.faults)
-    return replace(text, gateways=gateways, started=gateways, faults=faults)
+def resize(parsed: Scenario, gateways: int) -> Scenario:
+    """The scenario with another number of gateways; a split separates the first third, at least one gateway."""
+    first_size = max(gateways // 3, 1)
+    groups = (tuple(range(1, first_size + 1)), tuple(range(first_size + 1, gateways + 1)))
+    faults = tuple(
+        replace(fault, groups=groups) if fault.word == "split" else fault for fault in parsed.faults
+    )
+    return replace(parsed, gateways=gateways, started=gateways, faults=faults)
 
 
 def summary(
-    text: Scenario, results: list[Result], fleets: list[FleetFigures] | None = None
+    parsed: Scenario, results: list[Result], fleets: list[FleetFigures] | None = None
 ) -> dict[str, Any]:
-    """Figures over all seeds: worst, median and best of each; the fleet's own keys hold the worst."""
+    """Summarise all seeds: worst, median and best of each figure; the cluster's own keys hold the worst."""
     rows = [result.figures() for result in results]
     parts: dict[str, dict[str, Any]] = {}
-    for key in KEYS:
-        known = sorted(row[key] for row in rows if row[key] is not None)
-        if not known:
+    for key in SUMMARY_FIGURES:
+        values = sorted(row[key] for row in rows if row[key] is not None)
+        if not values:
             parts[key] = {"worst": None, "median": None, "best": None}
             continue
-        low_is_bad = key == "sent_of_allowed"
+        lower_is_worse = key == "sent_of_allowed"
         parts[key] = {
-            "worst": known[0 if low_is_bad else -1],
-            "median": known[len(known) // 2],
-            "best": known[-1 if low_is_bad else 0],
+            "worst": values[0 if lower_is_worse else -1],
+            "median": values[len(values) // 2],
+            "best": values[-1 if lower_is_worse else 0],
         }
-    fleet = spread([one.plain() for one in fleets or [FleetFigures()]])
-    worst = {key: row.get("worst") for key, row in fleet.items()}
-    if states := [one.roll_state for one in fleets or [] if one.roll_state is not None]:
+    cluster_figures = worst_and_median([figures.to_dict() for figures in fleets or [FleetFigures()]])
+    worst = {key: row.get("worst") for key, row in cluster_figures.items()}
+    if states := [figures.roll_state for figures in fleets or [] if figures.roll_state is not None]:
         worst["roll_state"] = next((state for state in states if state != "done"), "done")
     return {
-        "scenario": text.name,
+        "scenario": parsed.name,
         "kind": "simulated",
         "seeds": len(rows),
-        "gateways": text.gateways,
-        "watch": text.watch,
-        "spread": {**parts, **fleet},
+        "gateways": parsed.gateways,
+        "watch": parsed.watch,
+        "spread": {**parts, **cluster_figures},
         **worst,
         "stated_error": rows[0]["stated_error"],
         "ceiling_broken": sum(row["ceiling_broken"] for row in rows),
@@ -291,11 +301,11 @@
     """
     try:
         rows = compare_folders(first, second, to)
-    except (OSError, ValueError) as fault:
-        click.echo(f"compare: {fault}", err=True)
+    except (OSError, ValueError) as error:
+        click.echo(f"compare: {error}", err=True)
         sys.exit(UNUSABLE)
     if as_json:
-        _json(rows)
+        _print_json(rows)
         return
     table = Table(box=None)
     for column in ("figure", str(first), str(second)):
@@ -308,7 +318,7 @@
 @lab.command()
 @click.argument("folder", type=click.Path(exists=True, file_okay=False, path_type=Path))
 def report(folder: Path) -> None:
-    """Write the HTML page of a result folder anew.
+    """Write the HTML page of a result folder again.
 
     \b
     Example:
@@ -318,13 +328,13 @@
 
     try:
         click.echo(str(render_folder(folder)))
-    except (OSError, ValueError, KeyError) as fault:
-        click.echo(f"report: {folder}: not a result folder ({fault})", err=True)
+    except (OSError, ValueError, KeyError) as error:
+        click.echo(f"report: {folder}: not a result folder ({error})", err=True)
         sys.exit(UNUSABLE)
 
 
 @click.command()
-@click.option("--seconds", default=0.0, help="End after so long; 0: at Ctrl-C.")
+@click.option("--seconds", default=0.0, help="Length of the run in seconds; 0: until Ctrl-C.")
 @click.option("--json", "as_json", is_flag=True, help="No live figures; one JSON document at the end.")
 def demo(seconds: float, as_json: bool) -> None:
     """One gateway, an emulated fleet and a light load, with live figures: the first thing to run.
@@ -333,15 +343,15 @@
     Example:
         badgeryoke demo --seconds 20
     """
-    from badgeryoke.testbed.emulator.run import Stage
+    from badgeryoke.testbed.emulator.run import EmulatedRun
 
-    text, _ = _load("demo")
-    text = replace(text, length_ms=seconds * 1000.0 if seconds > 0 else 24 * 3_600_000.0)
+    parsed, _ = _load("demo")
+    parsed = replace(parsed, length_ms=seconds * 1000.0 if seconds > 0 else 24 * 3_600_000.0)
     console = Console()
     with Live(console=console, refresh_per_second=4, screen=False) as live:
         if as_json:
             live.stop()
-        stage = Stage(text, 1, None, _painter(live, as_json))
+        stage = EmulatedRun(parsed, 1, None, _event_painter(live, as_json))
         if not as_json:
             console.print(
                 "badgeryoke demo: one real gateway on loopback, everything around it emulated. "
@@ -349,11 +359,11 @@
             )
         try:
             result = asyncio.run(_until_stopped(stage))
-        except RuntimeError as fault:
-            click.echo(f"demo: {fault}", err=True)
+        except RuntimeError as error:
+            click.echo(f"demo: {error}", err=True)
             sys.exit(FAILED)
     if as_json:
-        _json({**result.figures(), **stage.extra_figures()})
+        _print_json({**result.figures(), **stage.extra_figures()})
     else:
         console.print(
             f"{result.verdict.tries} tries: {stage.counts['served']} served, "
@@ -361,25 +371,25 @@
             f"{result.verdict.unanswered} without an answer, "
             f"{result.verdict.beyond_share:.1%} of the units beyond a quota."
         )
-    sys.exit(0 if within_stated(result) and not result.verdict.unanswered else BAD)
+    sys.exit(0 if within_error_bounds(result) and not result.verdict.unanswered else VIOLATION)
 
 
 async def _until_stopped(stage: Any) -> Result:
-    """Play until its length or Ctrl-C, which ends the load and lets what is open be answered."""
+    """Run to the scenario's end, or to Ctrl-C, which stops the load and waits for the open requests."""
     import signal
 
     loop = asyncio.get_running_loop()
 
     def stop() -> None:
-        stage.asking = False
+        stage.clients_running = False
 
     loop.add_signal_handler(signal.SIGINT, stop)
     result: Result = await stage.play()
     return result
 
 
-def _painter(live: Live, silent: bool) -> Callable[[dict[str, Any]], None]:
-    last: dict[str, int] = {}
+def _event_painter(live: Live, silent: bool) -> Callable[[dict[str, Any]], None]:
+    previous: dict[str, int] = {}
 
     def paint(event: dict[str, Any]) -> None:
         if event["event"] != "second" or silent:
@@ -389,10 +399,10 @@
         for column in ("", "in the last second", "in all"):
             table.add_column(column, justify="left" if not column else "right")
         for key, value in counts.items():
-            table.add_row(f"tries {key}", str(value - last.get(key, 0)), str(value))
+            table.add_row(f"tries {key}", str(value - previous.get(key, 0)), str(value))
         for key in ("asked", "sent", "beyond"):
             table.add_row(f"units {key}", f"{event[key]:.0f}", "")
-        last.update(counts)
+        previous.update(counts)
         live.update(table)
 
     return paint
